--- a/packages/coordination/src/address_choice.ts
+++ b/packages/coordination/src/address_choice.ts
@@ -1,9 +1,10 @@
 /**
- * Which entries a caller is told to use, and for how long.
+ * Selects the entries that a caller should use, and how long it may cache them.
  *
- * There is no balancer: one answer moves all of a caller's load until it asks
- * again. So answers are drawn at random, weighted by place and load, rather than
- * all pointing at the entry that looked best in lagging news.
+ * There is no load balancer: one answer directs all of a caller's load until
+ * the caller asks again. Entries are therefore sampled at random, weighted by
+ * place and load, instead of every caller being sent to the entry that looked
+ * best according to data that lags.
  *
  * @module
  */
@@ -16,7 +17,7 @@
   PeerView,
 } from "./membership.ts";
 
-/** An entry that could be named in an answer. */
+/** An entry that may be included in an answer. */
 export interface AddressCandidate {
   entry: string;
   incarnation: string;
@@ -25,44 +26,50 @@
   state: PeerState;
   health: PeerHealth;
   inFlight: number;
-  /** Age of what is known about it. */
+  /** Age of the data held about this entry. */
   age: Millis;
 }
 
 /** Options of {@linkcode chooseAddresses}. */
 export interface AddressChoiceOptions {
-  /** The place that the caller is in, if it said so. */
+  /** The place that the caller is in, if the caller reported it. */
   callerPlace: string | undefined;
   limit: number;
   random: () => number;
 }
 
-/** The order in which to try entries and how long to keep it. */
+/** The order in which to try entries, and how long to cache it. */
 export interface AddressChoice {
   ordered: AddressCandidate[];
-  /** How long a caller may keep the answer. */
+  /** How long a caller may cache the answer. */
   keep: Millis;
 }
 
-const KEEP_STEADY: Millis = 10_000;
-/** While entries come and go, answers are kept for a shorter time. */
+const KEEP_STABLE: Millis = 10_000;
+/** Answers are cached for a shorter time while entries join and leave. */
 const KEEP_CHANGING: Millis = 2_000;
-/** Keeping times are spread by this share so that callers do not ask at once. */
-const KEEP_SPREAD = 0.25;
+/**
+ * Cache times are reduced by up to this share at random, so that callers do not
+ * refresh at once.
+ */
+const KEEP_JITTER = 0.25;
 const OWN_PLACE_WEIGHT = 4;
-/** News of this age counts half; older load says little about now. */
+/**
+ * A load report of this age counts half; older reports say little about the
+ * present.
+ */
 const LOAD_HALF_LIFE: Millis = 2_000;
 const LOAD_SOFTENING = 8;
 
-/** Chooses addresses for one caller. */
+/** Selects addresses for one caller. */
 export function chooseAddresses(
   candidates: readonly AddressCandidate[],
   { callerPlace, limit, random }: AddressChoiceOptions,
 ): AddressChoice {
   const usable = candidates.filter(isUsable);
   const isChanging = usable.length < candidates.length;
-  const keep = (isChanging ? KEEP_CHANGING : KEEP_STEADY) *
-    (1 - KEEP_SPREAD * random());
+  const keep = (isChanging ? KEEP_CHANGING : KEEP_STABLE) *
+    (1 - KEEP_JITTER * random());
   const meanLoad = computeMeanLoad(usable);
   const keyed = usable.map((candidate) => ({
     candidate,
@@ -81,18 +88,21 @@
 export interface EntryDrawOptions {
   limit: number;
   random: () => number;
-  /** This entry has just started and has heard of few others. */
+  /**
+   * Whether this entry has just started and has discovered few other entries.
+   */
   isLearning: boolean;
 }
 
 /**
- * The entries that a caller is told of who chooses among them itself, drawn anew
- * for each: a fleet is larger than an answer, and the same part of it in every
- * answer would carry the load of all.
+ * Samples the entries that are reported to a caller that balances its load
+ * itself. The sample is new for each answer: a fleet is larger than an answer,
+ * and a fixed subset in every answer would receive the load of the whole fleet.
  *
- * After a start of all, an entry has heard of few others. Named alone, those
- * would get the load of the whole fleet; so the others that are listed are named
- * as well for a while, though some may have ended.
+ * After a restart of the whole fleet, an entry has discovered few others. If
+ * only those were reported, they would receive the load of the whole fleet.
+ * During that time the other listed entries are reported as well, although some
+ * may have ended.
  */
 export function drawEntries(
   views: readonly Pick<PeerView, "record" | "health">[],
@@ -122,8 +132,8 @@
     meanLoad: number;
   },
 ): number {
-  const trust = Math.pow(0.5, age / LOAD_HALF_LIFE);
-  const load = meanLoad + (inFlight - meanLoad) * trust;
+  const confidence = Math.pow(0.5, age / LOAD_HALF_LIFE);
+  const load = meanLoad + (inFlight - meanLoad) * confidence;
   const placeWeight = place === callerPlace ? OWN_PLACE_WEIGHT : 1;
   return placeWeight * (meanLoad + LOAD_SOFTENING) / (load + LOAD_SOFTENING);
 }
--- a/packages/coordination/src/address_choice_test.ts
+++ b/packages/coordination/src/address_choice_test.ts
@@ -39,7 +39,7 @@
     return (entry: string) => counts.get(entry) ?? 0;
   }
 
-  it("names no entry that leaves or is not heard of", () => {
+  it("omits entries that are leaving or suspected", () => {
     const { ordered, keep } = chooseAddresses([
       candidate("a"),
       candidate("b", { state: "leaving" }),
@@ -49,12 +49,12 @@
     expect(keep).to.be.at.most(2_000);
   });
 
-  it("spreads callers over equal entries instead of naming one best", () => {
+  it("spreads callers over equal entries instead of always choosing one", () => {
     const count = countFirst([candidate("a"), candidate("b")]);
     expect(count("a") / count("b")).to.be.within(0.85, 1.18);
   });
 
-  it("prefers the caller's place without leaving the others idle", () => {
+  it("prefers the caller's place without leaving other places idle", () => {
     const count = countFirst(
       [candidate("near"), candidate("far", { place: "voss" })],
       "odda",
@@ -62,7 +62,7 @@
     expect(count("near") / count("far")).to.be.within(3, 5);
   });
 
-  it("sends fewer callers to a busy entry, but trusts old news less", () => {
+  it("sends fewer callers to a busy entry, but discounts old load reports", () => {
     const fresh = countFirst([
       candidate("busy", { inFlight: 200 }),
       candidate("idle"),
@@ -76,7 +76,7 @@
   });
 });
 
-describe("entries that a caller chooses among", () => {
+describe("entries sampled for a caller", () => {
   const seeded = new Random(MersenneTwister19937.seed(5));
   const random = () => seeded.realZeroToOneExclusive();
 
@@ -87,19 +87,19 @@
     }));
   }
 
-  // 195 entries, and an answer holds 64: with the same 64 in each, a third of the
-  // fleet would carry all of its load.
-  it("are drawn anew for each answer", () => {
+  // With 195 entries and 64 to an answer, a fixed set of 64 would make a third
+  // of the fleet carry all of its load.
+  it("are sampled anew for each answer", () => {
     const views = createViews(195, "alive");
     const counts = new Map<string, number>();
     for (let answer = 0; answer < 1_000; answer++) {
-      const drawn = drawEntries(views, {
+      const sample = drawEntries(views, {
         limit: 64,
         random,
         isLearning: false,
       });
-      expect(new Set(drawn).size).to.equal(64);
-      for (const { entry } of drawn) {
+      expect(new Set(sample).size).to.equal(64);
+      for (const { entry } of sample) {
         counts.set(entry, (counts.get(entry) ?? 0) + 1);
       }
     }
@@ -107,9 +107,9 @@
     expect(Math.max(...counts.values())).to.be.at.most(400);
   });
 
-  // All processes ended at once. The first that is back has heard of three
-  // others, and every caller of its place asks it.
-  it("are those that are listed, while this one has just started", () => {
+  // All processes restart at once. The first to be back has discovered three
+  // others, and every caller in its place asks it.
+  it("include suspected entries while this one has just started", () => {
     const views = [...createViews(3, "alive"), ...createViews(60, "suspected")];
     const count = (isLearning: boolean) =>
       drawEntries(views, { limit: 64, random, isLearning }).length;
@@ -117,7 +117,7 @@
     expect(count(false)).to.equal(3);
   });
 
-  it("are none that leave, or are lost", () => {
+  it("exclude entries that are leaving or lost", () => {
     const views = [
       ...createViews(2, "lost"),
       ...createViews(1, "alive").map(({ record, health }) => ({
--- a/packages/coordination/src/admission.ts
+++ b/packages/coordination/src/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission: refuses at once what cannot be answered in time, before it costs
- * anything, and tells the caller when to come back.
+ * Admission control: refuses requests that cannot be answered in time before
+ * they cost anything, and tells callers when to retry.
  *
  * @module
  */
@@ -12,17 +12,17 @@
 import { createFailure } from "./failure.ts";
 import type { WorkClass } from "./work_queue.ts";
 
-/** What admission needs to know of the pool of one stage. */
+/** What admission needs to know about the pool of one stage. */
 export interface StageForecast {
-  /** Expected time in the queue for this priority. */
+  /** Expected queueing time at this priority. */
   wait: Millis;
-  /** Expected time of the stage itself at present. */
+  /** Expected service time of the stage under the present load. */
   service: Millis;
-  /** Time of the stage itself without load. */
+  /** Service time of the stage without load. */
   unloaded: Millis;
 }
 
-/** A request that asks to be admitted. */
+/** A request that asks for admission. */
 export interface AdmissionRequest {
   workClass: WorkClass;
   /** Time left until its deadline. */
@@ -35,27 +35,31 @@
 export interface AdmissionOptions {
   clock: Clock;
   random: () => number;
-  /** Requests that one entry works on at once; the bound on its memory. */
+  /** Maximum number of requests in progress at one entry; bounds its memory. */
   maxInProgress: number;
-  /** The lowest priority published, which has the largest number. */
+  /** Returns the lowest published priority, which has the largest number. */
   readLowestPriority: () => number;
 }
 
-/** Decides about new requests at one entry. */
+/** Decides whether one entry admits new requests. */
 export interface Admission {
   readonly inProgress: number;
   /**
-   * The highest priority that missed a deadline here lately, 0 for none; told to
-   * other entries, which may have the work that should give way.
+   * The highest priority that missed a deadline here recently, or 0 if there is
+   * none. It is propagated to other entries, because the work to be shed may be
+   * at any of them.
    */
   readonly strainedPriority: number;
-  /** Lets classes below a priority give way, which misses at another entry. */
+  /**
+   * Sheds load from classes below a priority that misses deadlines at another
+   * entry.
+   */
   relieve(strainedPriority: number): void;
-  /** Admits, or refuses with the verdict `not_run`. */
+  /** Admits a request, or refuses it with the verdict `not_run`. */
   admit(request: AdmissionRequest): Result<AdmittedRequest, Failure>;
 }
 
-/** A request that was admitted; must be ended once. */
+/** A request that was admitted; `end` must be called once. */
 export interface AdmittedRequest {
   end(how: AdmittedEnd): void;
 }
@@ -65,14 +69,17 @@
   limit: ClassLimit;
 }
 
-/** Forecasts err; a request is refused only if it misses by this much. */
+/**
+ * Forecasts are inexact; a request is refused only if it is expected to exceed
+ * its deadline by this factor.
+ */
 const FORECAST_SLACK = 1.1;
-/** A miss is told to other entries for this long. */
-const STRAIN_LIFETIME: Millis = 2_000;
+/** How long a missed deadline is reported to other entries. */
+const MISS_REPORT_TTL: Millis = 2_000;
 const MIN_RETRY_AFTER: Millis = 250;
 const MAX_RETRY_AFTER: Millis = 30_000;
 
-/** Creates the admission of one entry. */
+/** Creates the admission control of one entry. */
 export function createAdmission(
   { clock, random, maxInProgress, readLowestPriority }: AdmissionOptions,
 ): Admission {
@@ -84,7 +91,7 @@
   function findLimit(workClass: WorkClass): ClassLimit {
     const known = classes.get(workClass.name);
     if (known !== undefined) {
-      // Priorities change with the configuration, the limit lives on.
+      // The priority may change with the configuration; the limit is kept.
       known.workClass = workClass;
       return known.limit;
     }
@@ -101,8 +108,11 @@
       (sum, { wait, service }) => sum + wait + service,
       0,
     );
-    const least = request.stages.reduce((sum, s) => sum + s.unloaded, 0);
-    if (least > request.remaining) {
+    const unloadedTotal = request.stages.reduce(
+      (sum, s) => sum + s.unloaded,
+      0,
+    );
+    if (unloadedTotal > request.remaining) {
       return Result.err(createFailure("deadline_exceeded", {
         verdict: "not_run",
         message: "the deadline is shorter than the stages take without load",
@@ -121,24 +131,27 @@
   }
 
   /**
-   * After a miss the class of the lowest priority that has work here admits
-   * less. The class that missed gives way itself only when it is the lowest
-   * published: the work that took its place may be at another entry.
+   * Lowers the limit of the lowest priority class that has work here. The class
+   * that missed its deadline is reduced itself only if it is the lowest
+   * published one: the work that took its place may be at another entry.
    */
-  function noteMiss(priority: number): void {
+  function recordMiss(priority: number): void {
     missedAt.set(priority, clock.now());
-    giveWay(Math.min(priority + 1, readLowestPriority()));
+    shedLowest(Math.min(priority + 1, readLowestPriority()));
   }
 
-  /** Shrinks the lowest class at work among those from `highest` down. */
-  function giveWay(highest: number): void {
-    const byPriority = [...classes.values()]
+  /**
+   * Lowers the limit of the lowest active class with the priority number
+   * `highest` or above.
+   */
+  function shedLowest(highest: number): void {
+    const lowestFirst = [...classes.values()]
       .filter(({ workClass, limit }) =>
         workClass.priority >= highest &&
         (limit.inProgress > 0 || limit.value < 1)
       )
       .sort((a, b) => b.workClass.priority - a.workClass.priority);
-    for (const { limit } of byPriority) if (limit.shrink()) return;
+    for (const { limit } of lowestFirst) if (limit.shrink()) return;
   }
 
   function begin(
@@ -154,7 +167,7 @@
         hasEnded = true;
         inProgress--;
         limit.end(how);
-        if (how.kind === "missed") noteMiss(priority);
+        if (how.kind === "missed") recordMiss(priority);
       },
     };
   }
@@ -167,8 +180,8 @@
     });
   }
 
-  function readStrained(): number {
-    const since = clock.now() - STRAIN_LIFETIME;
+  function computeStrainedPriority(): number {
+    const since = clock.now() - MISS_REPORT_TTL;
     const recent = [...missedAt].filter(([, at]) => at >= since)
       .map(([priority]) => priority);
     return recent.length === 0 ? 0 : Math.min(...recent);
@@ -179,18 +192,18 @@
       return inProgress;
     },
     get strainedPriority() {
-      return readStrained();
+      return computeStrainedPriority();
     },
     relieve(strainedPriority) {
-      if (strainedPriority > 0) giveWay(strainedPriority + 1);
+      if (strainedPriority > 0) shedLowest(strainedPriority + 1);
     },
     admit,
   };
 }
 
 /**
- * When to come back: the excess once more, spread over as long again, so that
- * callers refused together do not return together.
+ * Computes when to retry: after the excess time, plus jitter of up to the same
+ * length, so that callers that were refused together do not return together.
  */
 export function spreadRetryAfter(
   excess: Millis,
--- a/packages/coordination/src/admission_test.ts
+++ b/packages/coordination/src/admission_test.ts
@@ -20,7 +20,7 @@
     };
   }
 
-  it("admits what can be done in time, and counts it until it ends", () => {
+  it("admits a request that can meet its deadline, and counts it until it ends", () => {
     const { admission, decide } = admit();
     const admitted = decide();
     expect(admission.inProgress).to.equal(1);
@@ -30,7 +30,7 @@
     expect(admission.inProgress).to.equal(0);
   });
 
-  it("refuses early what the queues would make late, and says when to return", () => {
+  it("refuses a request that queueing would make late, and says when to retry", () => {
     const { decide } = admit([{ ...stage, wait: 900 }]);
     const refused = decide();
     expect(refused.isErr && refused.error).to.deep.include({
@@ -46,7 +46,7 @@
     expect(refused.isErr && refused.error.kind).to.equal("deadline_exceeded");
   });
 
-  it("spreads the times to come back, so that callers do not return together", () => {
+  it("adds jitter to retry times, so that callers do not return together", () => {
     expect(spreadRetryAfter(1_000, () => 0)).to.equal(1_000);
     expect(spreadRetryAfter(1_000, () => 0.99)).to.equal(1_990);
     expect(spreadRetryAfter(0, () => 0)).to.be.above(0);
--- a/packages/coordination/src/class_limit.ts
+++ b/packages/coordination/src/class_limit.ts
@@ -1,12 +1,12 @@
 /**
- * How many requests of a class one entry works on at a time, learnt from whether
- * those it admitted were answered in time.
- * Which class gives way to a miss is admission's decision.
+ * Limits how many requests of a class one entry works on concurrently. The
+ * limit adapts to whether admitted requests were answered in time. Admission
+ * decides which class is reduced after a miss.
  *
- * Failure guarded against: more of a class is admitted than is left for it by
- * classes before it. It shows as requests that pass the first stages and are
- * dropped at the last, so that almost none is answered although many could be.
- * The guard holds because each such drop lowers what is admitted next.
+ * Without the limit, more of a class would be admitted than higher classes
+ * leave room for: requests would pass the first stages and be dropped at the
+ * last one, so that almost none would be answered although capacity for many
+ * existed. Each such drop lowers what is admitted next.
  *
  * @module
  */
@@ -14,59 +14,70 @@
 
 /** How an admitted request ended. */
 export type AdmittedEnd =
-  /** Answered in time, with this share of its time left. */
+  /** Answered in time, with this share of the time budget left. */
   | { kind: "in_time"; slack: number }
-  /** Admitted, and then too late or dropped as hopeless. */
+  /**
+   * Admitted, and then answered late or dropped because the deadline could no
+   * longer be met.
+   */
   | { kind: "missed" }
-  /** Ended for a reason that says nothing about load. */
+  /** Ended for a reason unrelated to load. */
   | { kind: "other" };
 
-/** The limit of one class at one entry. */
+/** The concurrency limit of one class at one entry. */
 export interface ClassLimit {
   readonly value: number;
   readonly inProgress: number;
   hasRoom(): boolean;
   begin(): void;
-  /** Notes the end of one request; a miss shrinks no limit by itself. */
+  /**
+   * Records the end of one request; a miss does not lower the limit by itself.
+   */
   end(how: AdmittedEnd): void;
-  /** Admits less; false when it cannot give way any further. */
+  /** Lowers the limit; returns false if it is at its minimum already. */
   shrink(): boolean;
 }
 
-/** Below 1, one request at a time, with pauses in between. */
+/** A limit below 1 admits one request at a time, with pauses in between. */
 const MIN_LIMIT = 0.1;
 const PAUSE_UNIT: Millis = 500;
-/** Where a class starts: nothing is refused before the first miss. */
+/** Initial limit: nothing is refused before the first miss. */
 const MAX_LIMIT = 4_096;
 const SHRINK_FACTOR = 0.75;
-/** Drops arrive in a bunch; one bunch shrinks the limit once. */
+/** Drops arrive in bursts; a burst lowers the limit once. */
 const SHRINK_INTERVAL: Millis = 150;
-/** With more of its time left than this, a class is far from its limit. */
+/**
+ * With more than this share of the time budget left, a class is far from its
+ * limit.
+ */
 const AMPLE_SLACK = 0.5;
 const SOME_SLACK = 0.2;
-/** About one miss in eight holds the limit where it is. */
+/**
+ * With these growth factors, about one miss in eight requests keeps the limit
+ * constant.
+ */
 const AMPLE_GROWTH = 1.04;
 const SOME_GROWTH = 1.01;
 
-/** Creates the limit of a class nothing is known of. */
+/** Creates the limit of a class without history. */
 export function createClassLimit(clock: Clock): ClassLimit {
   let value = MAX_LIMIT;
   let inProgress = 0;
-  let lastShrink = -Infinity;
+  let lastShrunkAt = -Infinity;
   let pausedUntil = -Infinity;
 
   function shrink(): boolean {
     if (value <= MIN_LIMIT) return false;
     const now = clock.now();
-    if (now - lastShrink < SHRINK_INTERVAL) return true;
-    lastShrink = now;
-    const used = Math.min(value, inProgress + 1);
-    value = Math.max(MIN_LIMIT, used * SHRINK_FACTOR);
+    if (now - lastShrunkAt < SHRINK_INTERVAL) return true;
+    lastShrunkAt = now;
+    const reached = Math.min(value, inProgress + 1);
+    value = Math.max(MIN_LIMIT, reached * SHRINK_FACTOR);
     return true;
   }
 
   function grow(slack: number): void {
-    // A limit that was not reached has not been tested.
+    // A limit that was not reached was not tested.
     if (inProgress + 1 < Math.floor(value)) return;
     if (slack > AMPLE_SLACK) value *= AMPLE_GROWTH;
     else if (slack > SOME_SLACK) value *= SOME_GROWTH;
--- a/packages/coordination/src/class_limit_test.ts
+++ b/packages/coordination/src/class_limit_test.ts
@@ -28,9 +28,9 @@
     return { clock, admission, admit };
   }
 
-  // Rulings miss their deadline while chat is being worked on. Chat admits less
-  // from then on; rulings give way only when no chat is left to do so.
-  it("makes the lowest priority give way to a miss of any class", async () => {
+  // Rulings miss their deadline while chat requests are in progress. Chat is
+  // reduced first; rulings are reduced only when no chat is left.
+  it("reduces the lowest priority after a miss of any class", async () => {
     const { clock, admit } = create();
     for (let i = 0; i < 60; i++) {
       const chat = admit(CHAT);
@@ -42,8 +42,9 @@
     expect(admit(CHAT)).to.equal(undefined);
   });
 
-  // Chat itself misses all the time. Rulings must not admit less because of it.
-  it("never makes a class give way to one of lower priority", async () => {
+  // Chat itself misses deadlines all the time. Rulings must not be reduced
+  // because of it.
+  it("never reduces a class for one of lower priority", async () => {
     const { clock, admit } = create();
     for (let i = 0; i < 200; i++) {
       const ruling = admit(RULINGS);
@@ -54,9 +55,10 @@
     for (let i = 0; i < 32; i++) expect(admit(RULINGS)).not.to.equal(undefined);
   });
 
-  // Rulings miss at one entry because of the chat that callers send to another.
-  // The first must not refuse rulings; it tells the second, whose chat gives way.
-  it("asks other entries for relief instead of refusing rulings itself", async () => {
+  // Rulings miss deadlines at one entry because of chat requests that callers
+  // send to another. The first entry must not refuse rulings; it reports the
+  // misses, and the other entry reduces chat.
+  it("makes other entries shed load instead of refusing rulings itself", async () => {
     const strained = create();
     const busy = create();
     for (let i = 0; i < 60; i++) {
@@ -73,7 +75,7 @@
     expect(strained.admission.strainedPriority).to.equal(0);
   });
 
-  it("lets a class that gave way try again after a pause", async () => {
+  it("lets a class at its minimum try again after a pause", async () => {
     const clock = createFakeClock();
     const limit = createClassLimit(clock);
     while (limit.shrink()) await clock.advance(200);
@@ -84,14 +86,14 @@
     expect(limit.hasRoom()).to.equal(true);
   });
 
-  // An entry has just started and many requests come at once. Nothing has missed
-  // its deadline, so nothing may be refused.
+  // An entry has just started and many requests arrive at once. Nothing has
+  // missed its deadline, so nothing may be refused.
   it("refuses nothing before the first miss", () => {
     const { admit } = create();
     for (let i = 0; i < 900; i++) expect(admit(CHAT)).not.to.equal(undefined);
   });
 
-  it("falls once for a bunch of misses", () => {
+  it("shrinks once for a burst of misses", () => {
     const limit = createClassLimit(createFakeClock());
     for (let i = 0; i < 31; i++) limit.begin();
     limit.shrink();
@@ -99,7 +101,7 @@
     expect(limit.value).to.equal(24);
   });
 
-  it("rises again, faster the more time was left", () => {
+  it("grows again, faster the more time was left", () => {
     const limit = createClassLimit(createFakeClock());
     for (let i = 0; i < 31; i++) limit.begin();
     limit.shrink();
--- a/packages/coordination/src/cold_allowance.ts
+++ b/packages/coordination/src/cold_allowance.ts
@@ -1,15 +1,17 @@
 /**
- * How many requests an entry may send to an endpoint that is cold.
+ * Limits how many requests an entry may send to a cold endpoint, one that has
+ * just started and is not warmed up.
  *
- * The load it answers: endpoints that have just started, or a whole place that
- * comes back, while a burst waits. A cold endpoint bears some requests a second
- * and ends far above that; it takes no account of which of hundreds of entries
- * they come from. So the sum over all entries must hold although they do not
- * agree on anything: for each endpoint a few entries, the first in its rendezvous
- * order, share what it bears, and the others send it nothing while it is cold.
+ * Cold endpoints appear when endpoints start, or when a whole place recovers
+ * during a burst. A cold endpoint can take a few requests per second and ends
+ * far above that rate, whichever of hundreds of entries they come from. The sum
+ * over all entries must stay within that rate without coordination: for each
+ * endpoint, the first few entries in its rendezvous order share the rate, and
+ * the others send nothing to it while it is cold.
  *
- * An entry that hears nothing of endpoints does not know which have turned cold.
- * It sends to each no more than a cold one bears besides what the senders send.
+ * An entry that receives no endpoint updates does not know which endpoints have
+ * become cold. It sends to each at most what a cold endpoint can take on top of
+ * the load from its senders.
  *
  * @module
  */
@@ -26,50 +28,59 @@
   /** The name of this entry. */
   entry: string;
   /**
-   * All entries that may be sending, with this one, also silent ones: taken for
-   * gone, those behind a cut would be replaced by others and send on. Undefined
-   * while this entry has not heard of the others.
+   * All entries that may be sending, including this one and silent ones:
+   * entries behind a network partition would otherwise be replaced as senders,
+   * and go on sending. Undefined until this entry has discovered the others.
    */
   listEntries: () => readonly string[] | undefined;
   /** Whether an endpoint is cold, or may be. */
   isCold: (endpoint: EndpointInfo) => boolean;
-  /** How old the news of endpoints is. */
+  /** Returns the age of the endpoint data. */
   readNewsAge: () => Millis;
-  /** Requests a second that a cold endpoint of a pool bears; 0: any number. */
+  /**
+   * Returns the requests per second that a cold endpoint of a pool can take; 0
+   * means unlimited.
+   */
   readRate: (pool: string) => number;
 }
 
-/** What this entry may send to cold endpoints. */
+/** The requests that this entry may send to cold endpoints. */
 export interface ColdAllowance {
-  /** Whether it may send a request there now. */
+  /** Whether this entry may send a request to the endpoint now. */
   mayBegin(endpoint: EndpointInfo): boolean;
-  /** Counts a request that is sent there. */
+  /** Counts a request sent to the endpoint. */
   begin(endpoint: EndpointInfo): void;
 }
 
 /**
- * Entries that send to one cold endpoint: enough for the death of some, and of
- * those that bear little so few that the first requests of all senders together
- * are no burst.
+ * Number of entries that send to one cold endpoint. It tolerates the death of
+ * some. For endpoints that can take little it is small enough that the first
+ * requests of all senders together form no burst.
+ */
+const MIN_SENDERS = 3;
+const MAX_SENDERS = 6;
+/**
+ * The rest is a reserve for entries whose membership view differs from this
+ * one's.
  */
-const FEWEST_SENDERS = 3;
-const MOST_SENDERS = 6;
-/** The rest is left for entries that know other entries than this one does. */
 const USED_SHARE = 0.8;
-/** One request, and no more saved up: the first of all senders may coincide. */
-const FULL_BUCKET = 1;
 /**
- * Entries whose news of endpoints is older send to each at most this share of
- * what a cold one bears, which comes on top of what the senders do.
+ * One request, without saved tokens: the first requests of all senders may
+ * coincide.
+ */
+const BUCKET_SIZE = 1;
+/**
+ * Entries whose endpoint data is older send to each endpoint at most this share
+ * of what a cold one can take, in addition to the load from its senders.
  */
-const OLD_NEWS: Millis = 2_000;
-const UNHEARD_SHARE = 0.5;
-/** Two requests that come together may both go there. */
-const UNHEARD_BUCKET = 2;
+const STALE_AFTER: Millis = 2_000;
+const STALE_SHARE = 0.5;
+/** Two requests that arrive together may both go to the same endpoint. */
+const STALE_BUCKET_SIZE = 2;
 interface Limit {
   rate: BucketRate;
-  /** Whether only some of all entries send there. */
-  isShared: boolean;
+  /** Whether only the elected senders may send to the endpoint. */
+  isSenderOnly: boolean;
 }
 
 /** Creates the allowance of an entry that has sent nothing. */
@@ -88,31 +99,34 @@
   });
 
   function countSenders({ pool }: EndpointInfo): number {
-    const whole = Math.floor(readRate(pool));
-    return Math.min(MOST_SENDERS, Math.max(FEWEST_SENDERS, whole));
+    const wholeRate = Math.floor(readRate(pool));
+    return Math.min(MAX_SENDERS, Math.max(MIN_SENDERS, wholeRate));
   }
 
-  /** Undefined where nothing limits what is sent. */
+  /** Returns undefined if nothing limits what is sent. */
   function chooseLimit(endpoint: EndpointInfo): Limit | undefined {
     const rate = readRate(endpoint.pool);
     if (rate === 0) return undefined;
     if (isCold(endpoint)) {
       const perSecond = USED_SHARE * rate / countSenders(endpoint);
-      return { rate: { perSecond, size: FULL_BUCKET }, isShared: true };
+      return { rate: { perSecond, size: BUCKET_SIZE }, isSenderOnly: true };
     }
-    if (readNewsAge() <= OLD_NEWS) return undefined;
-    const perSecond = UNHEARD_SHARE * rate;
-    return { rate: { perSecond, size: UNHEARD_BUCKET }, isShared: false };
+    if (readNewsAge() <= STALE_AFTER) return undefined;
+    const perSecond = STALE_SHARE * rate;
+    return {
+      rate: { perSecond, size: STALE_BUCKET_SIZE },
+      isSenderOnly: false,
+    };
   }
 
   return {
     mayBegin(endpoint) {
       const limit = chooseLimit(endpoint);
       if (limit === undefined) return true;
-      const isSender = !limit.isShared ||
+      const isSender = !limit.isSenderOnly ||
         findRank(endpoint) < countSenders(endpoint);
       const tokens = buckets.read(formatEndpointKey(endpoint), limit.rate);
-      return isSender && tokens >= FULL_BUCKET;
+      return isSender && tokens >= BUCKET_SIZE;
     },
     begin(endpoint) {
       const limit = chooseLimit(endpoint);
--- a/packages/coordination/src/cold_allowance_replay_test.ts
+++ b/packages/coordination/src/cold_allowance_replay_test.ts
@@ -7,7 +7,10 @@
 import type { EndpointInfo } from "./endpoint.ts";
 import { computeHash } from "./rendezvous.ts";
 
-/** What a cold endpoint of these bears, and the count at which it ends. */
+/**
+ * What a cold endpoint can take here, and the requests within a second at which
+ * it ends.
+ */
 const RATE = 7.4;
 const LIMIT = 1.5 * RATE + 5;
 const SECOND: Millis = 1_000;
@@ -16,20 +19,20 @@
 interface Load {
   entries: number;
   endpoints: number;
-  /** Requests a second of the whole site. */
+  /** Requests per second of the whole site. */
   perSecond: number;
-  /** The entries that one knows of. */
+  /** The entries that one entry knows of. */
   listKnown: (entry: number, names: readonly string[]) => readonly string[];
-  /** Each request goes to the first endpoint that takes it. */
+  /** Each request goes to the first endpoint that may be sent to. */
   isHot?: boolean;
-  /** This entry hears nothing of endpoints. */
-  unheard?: number;
+  /** The index of an entry that receives no endpoint updates. */
+  uninformed?: number;
 }
 
 /**
- * All endpoints are cold for three seconds while requests come to entries at
- * random. Returns the most that reached an endpoint within a second, and the
- * share of the requests that found one.
+ * All endpoints are cold for three seconds while requests arrive at random
+ * entries. Returns the maximum number of requests that reached an endpoint
+ * within a second, and the share of requests that found an endpoint.
  */
 async function replayColdSite(load: Load) {
   const { entries, endpoints, perSecond, isHot = false } = load;
@@ -50,13 +53,13 @@
   );
   const allowances = names.map((name, entry) => {
     const cold = createColdEndpoints(clock);
-    if (entry !== load.unheard) infos.forEach(cold.note);
+    if (entry !== load.uninformed) infos.forEach(cold.note);
     return createColdAllowance({
       clock,
       entry: name,
       listEntries: () => load.listKnown(entry, names),
       isCold: cold.isCold,
-      readNewsAge: () => entry === load.unheard ? 3_000 : 0,
+      readNewsAge: () => entry === load.uninformed ? 3_000 : 0,
       readRate: () => RATE,
     });
   });
@@ -67,7 +70,7 @@
     await clock.advance(STEP);
     const due = Math.floor(perSecond * time / SECOND);
     for (; sent < due; sent++) {
-      // Whoever is refused comes back once, to any entry.
+      // A refused request is retried once, at any entry.
       if (sendOne() || sendOne()) served++;
     }
   }
@@ -96,16 +99,20 @@
 }
 
 const knowAll: Load["listKnown"] = (_, names) => names;
-/** As after a start of all: each has not heard of every fifth yet. */
+/**
+ * As after a restart of the whole fleet: each entry has not discovered a fifth
+ * of the others yet.
+ */
 const knowMost: Load["listKnown"] = (entry, names) =>
   names.filter((name, other) =>
     other === entry || computeHash(`${entry}/${name}`) % 5 !== 0
   );
 
 describe("a site whose endpoints are all cold", () => {
-  // A place comes back during a burst; one prompt is wanted by a third of all
-  // callers, and its engine is one of the cold ones. Eighty entries that each
-  // keep to the limit by themselves send it eighty times as much, and it ends.
+  // A place recovers during a burst; a third of all callers want one prompt,
+  // and its engine is among the cold ones. If each of eighty entries limited
+  // only its own requests, the engine would receive eighty times the limit and
+  // end.
   const LOADS: { name: string; load: Load }[] = [
     {
       name: "a hot key at 83 entries",
@@ -118,7 +125,7 @@
       },
     },
     {
-      name: "83 entries of which each lacks a fifth of the others",
+      name: "83 entries that each know four fifths of the others",
       load: {
         entries: 83,
         endpoints: 63,
@@ -132,31 +139,32 @@
       load: { entries: 8, endpoints: 8, perSecond: 80, listKnown: knowAll },
     },
     {
-      name: "8 entries of which each lacks a fifth of the others",
+      name: "8 entries that each know four fifths of the others",
       load: { entries: 8, endpoints: 8, perSecond: 80, listKnown: knowMost },
     },
   ];
   for (const { name, load } of LOADS) {
-    it(`is sent no more than it bears: ${name}`, async () => {
+    it(`is sent no more than it can take: ${name}`, async () => {
       const { most } = await replayColdSite(load);
       expect(most).to.be.at.most(LIMIT);
     });
   }
 
-  // The only engine turns cold while one of three entries is cut off from the
-  // store and from the others, and sends it all that its callers ask.
-  it("is sent no more than it bears by an entry that has not heard", async () => {
+  // The only engine becomes cold while one of three entries is cut off from the
+  // store and from the other entries, and sends it all of its callers'
+  // requests.
+  it("is sent no more than it can take, also by an entry without updates", async () => {
     const { most } = await replayColdSite({
       entries: 3,
       endpoints: 1,
       perSecond: 60,
       listKnown: knowAll,
-      unheard: 1,
+      uninformed: 1,
     });
     expect(most).to.be.at.most(LIMIT);
   });
 
-  it("serves what they bear together", async () => {
+  it("serves what its endpoints can take together", async () => {
     const { share } = await replayColdSite({
       entries: 83,
       endpoints: 63,
--- a/packages/coordination/src/cold_endpoints.ts
+++ b/packages/coordination/src/cold_endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * Which endpoints are cold: by their own word, which says how much longer, or
- * because they refused connections a moment ago and may have started since.
+ * Tracks which endpoints are cold: those that report it, with the time left,
+ * and those that refused connections a moment ago and may have restarted since.
  *
  * @module
  */
@@ -8,24 +8,29 @@
 import type { EndpointInfo } from "./endpoint.ts";
 import { formatEndpointKey } from "./endpoint.ts";
 
-/** The endpoints that said they are cold. */
+/** The endpoints known to be cold. */
 export interface ColdEndpoints {
-  /** Takes what an endpoint says of itself; returns whether it turned cold. */
+  /**
+   * Applies what an endpoint reports of itself; returns whether it became cold.
+   */
   note(endpoint: EndpointInfo): boolean;
-  /** Notes that nothing listened there; whatever listens next has just started. */
+  /**
+   * Records that nothing listened at the endpoint's address; whatever listens
+   * there next has just started.
+   */
   noteUnreachable(endpoint: EndpointInfo): void;
   isCold(endpoint: EndpointInfo): boolean;
 }
 
 /**
- * The word of an endpoint that started again under its id takes so long; until
- * then what is known of it is what it said before it ended.
+ * Time until the report of an endpoint that restarted under its id has arrived;
+ * until then only the reports from before the restart are known.
  */
-const WORD_DELAY: Millis = 2_500;
+const REPORT_DELAY: Millis = 2_500;
 
-/** Creates the state before any endpoint has said anything. */
+/** Creates a tracker that knows of no cold endpoint. */
 export function createColdEndpoints(clock: Clock): ColdEndpoints {
-  /** Endpoint key to the end of its coldness. */
+  /** By endpoint key, the time at which the endpoint stops being cold. */
   const coldUntil = new Map<string, Millis>();
 
   function isCold(endpoint: EndpointInfo): boolean {
@@ -37,8 +42,8 @@
     return false;
   }
 
-  /** Never sooner than known: what is read may be older than what was before. */
-  function noteColdFor(endpoint: EndpointInfo, left: Millis): void {
+  /** Never shortens the time: a reading may be older than the one before it. */
+  function recordColdFor(endpoint: EndpointInfo, left: Millis): void {
     const key = formatEndpointKey(endpoint);
     const until = clock.now() + left;
     if (until > (coldUntil.get(key) ?? 0)) coldUntil.set(key, until);
@@ -48,14 +53,14 @@
     const { coldLeft = 0 } = endpoint;
     if (coldLeft === 0) return false;
     const wasCold = isCold(endpoint);
-    // Its word is some time old, so this end is late, which does no harm.
-    noteColdFor(endpoint, coldLeft);
+    // The report has some age, so the computed end is late, which does no harm.
+    recordColdFor(endpoint, coldLeft);
     return !wasCold;
   }
 
   return {
     note,
-    noteUnreachable: (endpoint) => noteColdFor(endpoint, WORD_DELAY),
+    noteUnreachable: (endpoint) => recordColdFor(endpoint, REPORT_DELAY),
     isCold,
   };
 }
--- a/packages/coordination/src/cold_endpoints_test.ts
+++ b/packages/coordination/src/cold_endpoints_test.ts
@@ -21,7 +21,7 @@
     return { clock, cold: createColdEndpoints(clock) };
   }
 
-  it("are cold for as long as they say", async () => {
+  it("stay cold for as long as they report", async () => {
     const { clock, cold } = create();
     expect(cold.note(createEndpoint({ coldLeft: 2_000 }))).to.equal(true);
     await clock.advance(1_000);
@@ -31,23 +31,24 @@
     expect(cold.isCold(createEndpoint())).to.equal(false);
   });
 
-  // A peer tells what it read before the endpoint turned cold.
-  it("are not warm by the word of an earlier time", () => {
+  // A peer passes on a reading from before the endpoint became cold.
+  it("stay cold despite an older report", () => {
     const { cold } = create();
     cold.note(createEndpoint({ coldLeft: 2_000 }));
     cold.note(createEndpoint());
     expect(cold.isCold(createEndpoint())).to.equal(true);
   });
 
-  it("are told apart by their starts", () => {
+  it("are distinguished by incarnation", () => {
     const { cold } = create();
     cold.note(createEndpoint({ coldLeft: 2_000 }));
     expect(cold.isCold(createEndpoint({ incarnation: "2" }))).to.equal(false);
   });
 
-  // An endpoint ends and starts again under its id. Its word that it is cold is
-  // read a second later; until then all entries would send what they had sent.
-  it("may be those that refused a connection a moment ago", async () => {
+  // An endpoint ends and restarts under its id. Its report that it is cold is
+  // read a second later; until then all entries would keep sending at their
+  // usual rate.
+  it("include those that refused a connection a moment ago", async () => {
     const { clock, cold } = create();
     cold.noteUnreachable(createEndpoint());
     await clock.advance(2_000);
--- a/packages/coordination/src/concurrency_limit.ts
+++ b/packages/coordination/src/concurrency_limit.ts
@@ -1,20 +1,25 @@
 /**
- * How many requests one entry keeps at one endpoint at a time: additive
- * increase, multiplicative decrease on the ratio of measured to unloaded time.
+ * Limits how many requests one entry keeps in flight at one endpoint: additive
+ * increase, multiplicative decrease (AIMD) on the ratio of measured to unloaded
+ * latency.
  *
- * Work that waits here can still be put in order of priority and dropped when
- * hopeless; work that waits at the endpoint cannot.
+ * Requests that wait in the entry can still be ordered by priority, and dropped
+ * when they cannot meet their deadline; requests that wait at the endpoint
+ * cannot.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** An adaptive limit. */
+/** An adaptive concurrency limit. */
 export interface ConcurrencyLimit {
   readonly value: number;
-  /** Adds a measurement taken while `inFlight` requests were at the endpoint. */
+  /**
+   * Adds a latency ratio measured while `inFlight` requests were at the
+   * endpoint.
+   */
   record(ratio: number, inFlight: number): void;
-  /** Notes a timeout or an answer that the endpoint is overloaded. */
+  /** Records a timeout, or an answer saying that the endpoint is overloaded. */
   recordOverload(): void;
 }
 
@@ -28,24 +33,30 @@
 const MIN_LIMIT = 1;
 /** Up to this ratio the endpoint hardly queues, and the limit may grow. */
 const GROW_BELOW = 1.6;
-/** From this ratio on it queues as long as it works, and the limit shrinks. */
+/**
+ * Above this ratio requests queue about as long as they are served, and the
+ * limit shrinks.
+ */
 const SHRINK_ABOVE = 2.5;
 const SHRINK_FACTOR = 0.85;
 const OVERLOAD_FACTOR = 0.6;
-/** One decrease for one congestion, whose measurements arrive in a bunch. */
+/**
+ * One congestion event lowers the limit once, although its measurements arrive
+ * in a burst.
+ */
 const SHRINK_INTERVAL: Millis = 100;
 
-/** Creates a limit. */
+/** Creates a limit that starts at `start`. */
 export function createConcurrencyLimit(
   { clock, start, max }: ConcurrencyLimitOptions,
 ): ConcurrencyLimit {
   let value = start;
-  let lastShrink = -Infinity;
+  let lastShrunkAt = -Infinity;
 
   function shrink(factor: number): void {
     const now = clock.now();
-    if (now - lastShrink < SHRINK_INTERVAL) return;
-    lastShrink = now;
+    if (now - lastShrunkAt < SHRINK_INTERVAL) return;
+    lastShrunkAt = now;
     value = Math.max(MIN_LIMIT, value * factor);
   }
 
@@ -55,7 +66,7 @@
     },
     record(ratio, inFlight) {
       if (ratio > SHRINK_ABOVE) return shrink(SHRINK_FACTOR);
-      // A limit that was not reached has not been tested.
+      // A limit that was not reached was not tested.
       const isTested = inFlight >= Math.floor(value);
       if (ratio > GROW_BELOW || !isTested) return;
       value = Math.min(max, value + 1 / value);
--- a/packages/coordination/src/concurrency_limit_test.ts
+++ b/packages/coordination/src/concurrency_limit_test.ts
@@ -3,7 +3,7 @@
 import { createConcurrencyLimit } from "./concurrency_limit.ts";
 
 describe("concurrency limit", () => {
-  it("grows while the endpoint keeps up and shrinks once for a congestion", async () => {
+  it("grows while the endpoint keeps up and shrinks once per congestion event", async () => {
     const clock = createFakeClock();
     const limit = createConcurrencyLimit({ clock, start: 4, max: 8 });
     for (let i = 0; i < 40; i++) limit.record(1, limit.value);
@@ -19,7 +19,7 @@
     expect(limit.value).to.equal(1);
   });
 
-  it("does not grow on measurements that did not test it", () => {
+  it("does not grow on measurements taken below the limit", () => {
     const limit = createConcurrencyLimit({
       clock: createFakeClock(),
       start: 4,
--- a/packages/coordination/src/endpoint.ts
+++ b/packages/coordination/src/endpoint.ts
@@ -1,21 +1,21 @@
 /**
- * Endpoints as the instance list and they themselves describe them.
+ * Endpoints as described by the instance list and by themselves.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 
-/** Whether an endpoint takes new work. */
+/** Whether an endpoint accepts new work. */
 export type EndpointState = "live" | "leaving";
 
 /** One endpoint instance. */
 export interface EndpointInfo {
   id: string;
-  /** Changes when the endpoint restarts, also under the same address. */
+  /** Changes when the endpoint restarts, even at the same address. */
   incarnation: string;
-  /** When this incarnation started, by the endpoint's own time of day. */
+  /** When this incarnation started, by the endpoint's wall clock. */
   startedAt?: Millis;
-  /** How much longer it stays cold, as of its word. */
+  /** How much longer it stays cold, as of its report. */
   coldLeft?: Millis;
   pool: string;
   place: string;
@@ -24,39 +24,41 @@
   state: EndpointState;
 }
 
-/** A load report; it describes the past. */
+/** A load report; describes the past. */
 export interface LoadReport {
   running: number;
   queued: number;
-  /** How many requests the endpoint works on at once. */
+  /** How many requests the endpoint works on concurrently. */
   slots: number;
   /** When the endpoint took the reading, by the reader's clock. */
   takenAt: Millis;
 }
 
-/** What an endpoint's answer says of the work that it takes from now on. */
+/**
+ * What an endpoint's answer says about the work that it accepts from now on.
+ */
 export interface EndpointSignals {
   /**
-   * Requests a second that it takes from all entries together; missing where it
-   * names no limit.
+   * Requests per second that it accepts from all entries together; missing if
+   * it announces no limit.
    */
   rateLimit?: number;
-  /** It takes nothing new for as long as it lives. */
+  /** It accepts no new work for the rest of its lifetime. */
   isLeaving?: true;
-  /** It takes nothing from this entry for so long. */
+  /** It accepts no requests from this entry for this long. */
   pause?: Millis;
 }
 
-/** Whether what is said of an endpoint is about an earlier incarnation. */
+/** Whether a report about an endpoint refers to an earlier incarnation. */
 export function isOlderIncarnation(
-  said: EndpointInfo,
+  reported: EndpointInfo,
   known: EndpointInfo,
 ): boolean {
-  return said.startedAt !== undefined && known.startedAt !== undefined &&
-    said.startedAt < known.startedAt;
+  return reported.startedAt !== undefined && known.startedAt !== undefined &&
+    reported.startedAt < known.startedAt;
 }
 
-/** A key that tells incarnations apart. */
+/** Formats a key that distinguishes incarnations. */
 export function formatEndpointKey(
   { id, incarnation }: Pick<EndpointInfo, "id" | "incarnation">,
 ): string {
--- a/packages/coordination/src/endpoint_directory.ts
+++ b/packages/coordination/src/endpoint_directory.ts
@@ -1,12 +1,12 @@
 /**
- * Which endpoints exist and which of them take new work.
+ * Tracks which endpoints exist and which of them accept new work.
  *
- * Leaving is told by the instance list, which lags, by an endpoint's own
- * answers, and by peers; the earliest wins. An endpoint's own word holds for as
- * long as it lives, whatever the list says: it may be away for longer than any
- * time that could be chosen. A guess heals: a mark that the list does not confirm
- * expires. An endpoint that comes back as another incarnation is a new one and
- * inherits no mark.
+ * Leaving is reported by the instance list, which lags, by an endpoint's own
+ * answers, and by peers; the earliest report wins. An endpoint's own report is
+ * valid for its lifetime, whatever the instance list says, because the list may
+ * be unavailable for longer than any fixed timeout. Marks that rest on
+ * inference expire unless the instance list confirms them. An endpoint that
+ * returns as another incarnation is a new one and inherits no mark.
  *
  * @module
  */
@@ -15,20 +15,20 @@
 import type { EndpointInfo } from "./endpoint.ts";
 import { formatEndpointKey } from "./endpoint.ts";
 
-/** Who said that an endpoint is leaving. */
+/** Who reported that an endpoint is leaving. */
 export type LeavingSource = "instance_list" | "endpoint" | "peer";
 
-/** What a mark that an endpoint is leaving rests on. */
+/** What a mark that an endpoint is leaving is based on. */
 export interface LeavingGround {
-  /** Time since the endpoint said so, or since it was guessed. */
+  /** Time since the endpoint reported it, or since it was inferred. */
   age?: Millis;
-  /** The endpoint itself has said so. */
+  /** Whether the endpoint itself reported it. */
   isSaid?: boolean;
 }
 
-/** A mark that an endpoint is leaving, as handed to peers. */
+/** A mark that an endpoint is leaving, as sent to peers. */
 export interface LeavingMark {
-  /** From {@linkcode formatEndpointKey}. */
+  /** See {@linkcode formatEndpointKey}. */
   endpointKey: string;
   age: Millis;
   isSaid: boolean;
@@ -37,23 +37,29 @@
 /** Options of {@linkcode createEndpointDirectory}. */
 export interface EndpointDirectoryOptions {
   clock: Clock;
-  /** How long a guess holds that the instance list does not confirm. */
+  /**
+   * How long an inferred mark is valid without confirmation by the instance
+   * list.
+   */
   markLifetime: Millis;
-  /** Endpoints there take no new work, whatever they say. */
+  /**
+   * Whether a place is evacuated; its endpoints get no new work, whatever they
+   * report.
+   */
   isEvacuated?: (place: string) => boolean;
 }
 
 /** The endpoints known to one entry. */
 export interface EndpointDirectory {
-  /** Replaces what the instance list says. */
+  /** Replaces the endpoints with those in the instance list. */
   replaceAll(endpoints: readonly EndpointInfo[]): void;
-  /** Marks an endpoint as leaving; returns whether that was news. */
+  /** Marks an endpoint as leaving; returns whether the mark is new. */
   markLeaving(endpointKey: string, ground?: LeavingGround): boolean;
-  /** Endpoints of `pool` that take new work. */
+  /** Lists the endpoints of `pool` that accept new work. */
   listUsable(pool: string): EndpointInfo[];
-  /** All endpoints in the instance list. */
+  /** Lists all endpoints in the instance list. */
   listAll(): EndpointInfo[];
-  /** The youngest marks, for peers; at most `limit`. */
+  /** Selects the most recent marks for peers, at most `limit`. */
   chooseMarks(limit: number): LeavingMark[];
 }
 
@@ -62,9 +68,9 @@
   isSaid: boolean;
 }
 
-/** A mark that an endpoint has set itself is told on for so long. */
-const NEWS_LIFETIME: Millis = 15_000;
-/** The oldest mark is dropped above this many. */
+/** How long a mark is propagated to peers. */
+const PROPAGATION_TIME: Millis = 15_000;
+/** Maximum number of marks; above it the oldest is evicted. */
 const MAX_MARKS = 4_096;
 
 /** Creates an empty directory. */
@@ -87,8 +93,8 @@
     endpointKey: string,
     { age = 0, isSaid = false }: LeavingGround = {},
   ): boolean {
-    // The age travels with the mark, or two entries would keep a false alarm
-    // alive by telling it back to each other.
+    // The age is sent with the mark; otherwise two entries would keep a false
+    // alarm alive by sending it back and forth.
     const markedAt = clock.now() - age;
     if (!isSaid && age > markLifetime) return false;
     const known = marks.get(endpointKey);
@@ -109,7 +115,7 @@
         age: now - markedAt,
         isSaid,
       }))
-      .filter(({ age }) => age <= NEWS_LIFETIME)
+      .filter(({ age }) => age <= PROPAGATION_TIME)
       .sort((a, b) => a.age - b.age)
       .slice(0, limit);
   }
--- a/packages/coordination/src/endpoint_directory_test.ts
+++ b/packages/coordination/src/endpoint_directory_test.ts
@@ -28,16 +28,16 @@
     return { clock, directory, listIds };
   }
 
-  // The endpoint says that it leaves; the instance list lags and calls it live.
-  // New work that still went there would be cut off when it stops.
-  it("believes an endpoint's own word before the instance list", () => {
+  // The endpoint reports that it is leaving; the instance list lags and lists
+  // it as live. New work sent to it would be cut off when it stops.
+  it("prefers an endpoint's own report to the instance list", () => {
     const { directory, listIds } = create();
     directory.markLeaving(formatEndpointKey(endpoint("e1")));
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
-  // The instance list is away for longer than any mark lasts.
-  it("believes an endpoint's own word for as long as it lives", async () => {
+  // The instance list is unavailable for longer than the lifetime of any mark.
+  it("keeps an endpoint's own report for its lifetime", async () => {
     const { directory, listIds, clock } = create();
     directory.markLeaving(formatEndpointKey(endpoint("e1")), { isSaid: true });
     await clock.advance(60_000);
@@ -47,7 +47,7 @@
     expect(listIds()).to.deep.equal(["e1"]);
   });
 
-  it("takes an endpoint's own word over a guess, also from peers", async () => {
+  it("prefers an endpoint's own report to an inferred mark, also from peers", async () => {
     const { directory, listIds, clock } = create();
     const key = formatEndpointKey(endpoint("e1"));
     directory.markLeaving(key);
@@ -60,14 +60,14 @@
     expect(directory.chooseMarks(10)).to.deep.equal([]);
   });
 
-  it("heals a false alarm that the instance list does not confirm", async () => {
+  it("drops a false alarm that the instance list does not confirm", async () => {
     const { directory, listIds, clock } = create();
     directory.markLeaving(formatEndpointKey(endpoint("e1")));
     await clock.advance(1_001);
     expect(listIds()).to.deep.equal(["e1", "e2"]);
   });
 
-  it("believes the instance list at once", () => {
+  it("applies the instance list at once", () => {
     const { directory, listIds } = create();
     directory.replaceAll([
       endpoint("e1", { state: "leaving" }),
@@ -76,16 +76,16 @@
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
-  it("takes another incarnation at the same address for a new endpoint", () => {
+  it("treats another incarnation at the same address as a new endpoint", () => {
     const { directory, listIds } = create();
     directory.markLeaving(formatEndpointKey(endpoint("e1")));
     directory.replaceAll([endpoint("e1", { incarnation: "2" })]);
     expect(listIds()).to.deep.equal(["e1"]);
   });
 
-  // Two entries tell each other of a mark for ever, and a false alarm never
-  // heals. The mark's age travels with it, so it expires everywhere.
-  it("does not keep a mark alive that peers tell back", async () => {
+  // Two entries could send a mark back and forth, so that a false alarm never
+  // expires. The mark's age is sent with it, so it expires everywhere.
+  it("does not keep a mark alive that peers send back", async () => {
     const { directory, listIds, clock } = create();
     const key = formatEndpointKey(endpoint("e1"));
     directory.markLeaving(key);
--- a/packages/coordination/src/endpoint_health.ts
+++ b/packages/coordination/src/endpoint_health.ts
@@ -1,34 +1,34 @@
 /**
- * Takes slow and dead endpoints out of use for a while, with a floor: a surge
- * that makes all endpoints slow must not empty the pool.
+ * Ejects slow and dead endpoints for a while (outlier ejection), up to a limit:
+ * a surge that makes all endpoints slow must not empty the pool.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Why an endpoint is out of use. */
+/** Why an endpoint is ejected. */
 export type EjectionCause = "unreachable" | "failing" | "slow";
 
 /** The health of one endpoint as seen by one entry. */
 export interface EndpointHealth {
   readonly cause: EjectionCause | undefined;
-  /** How slow it is against what is expected; 1 is normal. */
+  /** Latency relative to what is expected; 1 is normal. */
   readonly slowness: number;
   isEjected(): boolean;
   recordSuccess(ratio: number): void;
   recordFailure(cause: "unreachable" | "failing"): void;
-  /** Takes it out of use; each time in a row for twice as long. */
+  /** Ejects the endpoint; each consecutive ejection lasts twice as long. */
   eject(cause: EjectionCause): void;
 }
 
 const SLOWNESS_WEIGHT = 0.1;
 const FAILURES_TO_EJECT = 3;
 const FIRST_EJECTION: Millis = 1_000;
-const LONGEST_EJECTION: Millis = 15_000;
-/** After an ejection ends, it takes this many successes to count as healed. */
-const SUCCESSES_TO_HEAL = 5;
+const MAX_EJECTION: Millis = 15_000;
+/** Consecutive successes after which earlier ejections no longer count. */
+const SUCCESSES_TO_RECOVER = 5;
 
-/** Creates the health of an endpoint nothing is known of. */
+/** Creates the health of an endpoint without history. */
 export function createEndpointHealth(clock: Clock): EndpointHealth {
   let slowness = 1;
   let failures = 0;
@@ -44,10 +44,10 @@
   function eject(why: EjectionCause): void {
     if (isEjected()) return;
     const duration = FIRST_EJECTION * Math.pow(2, ejections);
-    ejectedUntil = clock.now() + Math.min(LONGEST_EJECTION, duration);
+    ejectedUntil = clock.now() + Math.min(MAX_EJECTION, duration);
     ejections++;
     successes = 0;
-    // One failure after the return is enough to take it out again.
+    // After an ejection, a single failure is enough for the next one.
     failures = FAILURES_TO_EJECT - 1;
     slowness = 1;
     cause = why;
@@ -56,14 +56,15 @@
   function recordSuccess(ratio: number): void {
     slowness += SLOWNESS_WEIGHT * (ratio - slowness);
     failures = 0;
-    if (++successes < SUCCESSES_TO_HEAL) return;
+    if (++successes < SUCCESSES_TO_RECOVER) return;
     ejections = 0;
     cause = undefined;
   }
 
   function recordFailure(why: "unreachable" | "failing"): void {
     successes = 0;
-    // A refused connection leaves no doubt; an error may be the request's own.
+    // A refused connection is conclusive; an error may be caused by the request
+    // itself.
     failures = why === "unreachable" ? FAILURES_TO_EJECT : failures + 1;
     if (failures >= FAILURES_TO_EJECT) eject(why);
   }
@@ -82,12 +83,18 @@
   };
 }
 
-/** An endpoint is slow at this multiple of the median of its pool. */
+/**
+ * An endpoint is slow if its slowness is at least this multiple of the median
+ * of its pool.
+ */
 const SLOW_FACTOR = 3;
-/** At most this share of a pool is out of use for being slow. */
+/** Maximum share of a pool that is ejected for being slow. */
 const SLOW_SHARE = 1 / 3;
 
-/** Ejects the slowest endpoint of a pool if it stands out; keeps the floor. */
+/**
+ * Ejects the slowest endpoint of a pool if it is an outlier, unless too many
+ * are ejected already.
+ */
 export function ejectSlowest(
   pool: readonly EndpointHealth[],
 ): EndpointHealth | undefined {
--- a/packages/coordination/src/endpoint_health_test.ts
+++ b/packages/coordination/src/endpoint_health_test.ts
@@ -12,21 +12,21 @@
     return { clock, pool };
   }
 
-  it("takes out the endpoint that stands out, for a while", async () => {
+  it("ejects an outlier for a while", async () => {
     const { clock, pool } = createPool([1, 1, 1, 9]);
     expect(ejectSlowest(pool)).to.equal(pool[3]);
     await clock.advance(1_001);
     expect(pool[3]?.isEjected()).to.equal(false);
   });
 
-  // A surge makes every endpoint slow at once. Taking slow ones out would send
-  // their work to the others until the pool is empty.
-  it("keeps the pool in a surge that makes all of it slow", () => {
+  // A surge makes every endpoint slow at once. Ejecting the slow ones would
+  // move their load to the others until the pool is empty.
+  it("ejects nothing in a surge that makes the whole pool slow", () => {
     const { pool } = createPool([9, 9, 9, 9]);
     expect(ejectSlowest(pool)).to.equal(undefined);
   });
 
-  it("never takes out more than a third of a pool for being slow", () => {
+  it("never ejects more than a third of a pool for being slow", () => {
     const { pool } = createPool([1, 1, 1, 9, 9, 9]);
     while (ejectSlowest(pool) !== undefined);
     expect(pool.filter((health) => health.isEjected()).length).to.equal(2);
--- a/packages/coordination/src/endpoint_limits.ts
+++ b/packages/coordination/src/endpoint_limits.ts
@@ -1,9 +1,9 @@
 /**
- * The limits that endpoints name: what stands, by an endpoint's own word here or
- * by what other entries have heard.
+ * Tracks the rate limits that endpoints announce, from their answers to this
+ * entry and from updates by other entries.
  *
- * An entry that sends nothing to an endpoint hears nothing of it, so the end of a
- * limit reaches it through others only.
+ * An entry that sends nothing to an endpoint gets no answers from it, so it
+ * learns of the end of a limit only through other entries.
  *
  * @module
  */
@@ -11,37 +11,41 @@
 import { putBounded } from "@mangoreach/shared";
 import { drawSome } from "./draw.ts";
 
-/** What an endpoint said last of its limit, as told to other entries. */
+/** The last report about an endpoint's limit, as sent to other entries. */
 export interface LimitNews {
-  /** From {@linkcode formatEndpointKey}. */
+  /** See {@linkcode formatEndpointKey}. */
   endpointKey: string;
-  /** Requests a second from all entries; null where it names none any more. */
+  /**
+   * Requests per second from all entries; null if the endpoint announces no
+   * limit any more.
+   */
   rateLimit: number | null;
-  /** Time since it said so. */
+  /** Time since the endpoint reported it. */
   age: Millis;
 }
 
-/** What is known of limits. */
+/** The rate limits known to one entry. */
 export interface EndpointLimits {
   /**
-   * Takes an endpoint's own word; undefined if it names no limit. An answer is
-   * younger than its request, which was sent at `sentAt`, and no more is known:
-   * answers overtake each other, and an older one takes back no younger limit.
+   * Records an endpoint's own report; `rateLimit` is undefined if it announces
+   * no limit. `sentAt` is when the request was sent: the answer is more recent,
+   * and nothing else is known about its age. Answers may arrive out of order,
+   * and an older one must not withdraw a newer limit.
    */
   note(
     endpointKey: string,
     rateLimit: number | undefined,
     sentAt: Millis,
   ): void;
-  /** Takes what another entry has heard. */
+  /** Applies an update from another entry. */
   takeNews(news: LimitNews): void;
-  /** Some of what was said of late, at most `count`. */
+  /** Samples recent reports, at most `count`. */
   chooseNews(count: number): LimitNews[];
-  /** Whether nothing is known of any limit. */
+  /** Whether no limit is known. */
   isEmpty(): boolean;
-  /** The limit that stands. */
+  /** Returns the limit in force. */
   find(endpointKey: string): number | undefined;
-  /** Whether nobody has heard of a limit that stands for a while. */
+  /** Whether no entry has confirmed the limit in force for a while. */
   isOld(endpointKey: string): boolean;
 }
 
@@ -52,41 +56,47 @@
   random: () => number;
 }
 
-interface Word {
+interface LimitReport {
   rateLimit: number | null;
-  saidAt: Millis;
-  /** Whether the endpoint said so to this entry, which binds it. */
-  isOwn: boolean;
+  reportedAt: Millis;
+  /**
+   * Whether the endpoint has reported a limit to this entry, which binds it until
+   * the endpoint withdraws the limit.
+   */
+  isBinding: boolean;
 }
 
-/** A word is passed on for so long. */
-const NEWS_LIFETIME: Millis = 15_000;
-/** What only others have heard is forgotten after this. */
-const HEARSAY_LIFETIME: Millis = 20_000;
-/** After this an entry that may send there does, to hear whether it stands. */
-const OLD_WORD: Millis = 5_000;
-/** The oldest word is dropped above this many. */
+/** How long a report is propagated to other entries. */
+const PROPAGATION_TIME: Millis = 15_000;
+/** Reports from other entries only are dropped after this time. */
+const PEER_REPORT_TTL: Millis = 20_000;
+/**
+ * After this time an entry that may send to the endpoint does so, to learn
+ * whether the limit is still in force.
+ */
+const STALE_AFTER: Millis = 5_000;
+/** Maximum number of reports; above it the oldest is evicted. */
 const MAX_KNOWN = 1_024;
 
-/** Creates the limits of endpoints that have named none. */
+/** Creates a tracker that knows of no limit. */
 export function createEndpointLimits(
   { clock, random }: EndpointLimitsOptions,
 ): EndpointLimits {
-  const words = new Map<string, Word>();
+  const reports = new Map<string, LimitReport>();
 
-  function put(endpointKey: string, word: Word): void {
-    // Kept in the order in which they were heard, so the first is the oldest.
-    words.delete(endpointKey);
-    putBounded(words, [endpointKey, word], MAX_KNOWN);
+  function put(endpointKey: string, report: LimitReport): void {
+    // Keeps the map in order of arrival, so the first report is the oldest.
+    reports.delete(endpointKey);
+    putBounded(reports, [endpointKey, report], MAX_KNOWN);
   }
 
-  function readStanding(endpointKey: string): Word | undefined {
-    const word = words.get(endpointKey);
-    if (word === undefined) return undefined;
-    const isStanding = word.rateLimit !== null;
-    const age = clock.now() - word.saidAt;
-    if (isStanding && (word.isOwn || age <= HEARSAY_LIFETIME)) return word;
-    if (age > HEARSAY_LIFETIME) words.delete(endpointKey);
+  function findInForce(endpointKey: string): LimitReport | undefined {
+    const report = reports.get(endpointKey);
+    if (report === undefined) return undefined;
+    const isActive = report.rateLimit !== null;
+    const age = clock.now() - report.reportedAt;
+    if (isActive && (report.isBinding || age <= PEER_REPORT_TTL)) return report;
+    if (age > PEER_REPORT_TTL) reports.delete(endpointKey);
     return undefined;
   }
 
@@ -96,32 +106,33 @@
     sentAt: Millis,
   ): void {
     if (rateLimit !== undefined) {
-      put(endpointKey, { rateLimit, saidAt: clock.now(), isOwn: true });
+      put(endpointKey, { rateLimit, reportedAt: clock.now(), isBinding: true });
       return;
     }
-    const known = words.get(endpointKey);
-    if (known === undefined || known.saidAt > sentAt) return;
-    put(endpointKey, { rateLimit: null, saidAt: sentAt, isOwn: true });
+    const known = reports.get(endpointKey);
+    if (known === undefined || known.reportedAt > sentAt) return;
+    put(endpointKey, { rateLimit: null, reportedAt: sentAt, isBinding: true });
   }
 
   function takeNews({ endpointKey, rateLimit, age }: LimitNews): void {
-    const known = words.get(endpointKey);
-    const saidAt = clock.now() - age;
-    if (known !== undefined && known.saidAt >= saidAt) return;
-    // What bound this entry goes on to, until the endpoint takes it back.
-    const isOwn = known?.isOwn === true && known.rateLimit !== null;
-    put(endpointKey, { rateLimit, saidAt, isOwn });
+    const known = reports.get(endpointKey);
+    const reportedAt = clock.now() - age;
+    if (known !== undefined && known.reportedAt >= reportedAt) return;
+    // A limit that binds this entry stays binding until the endpoint withdraws
+    // it.
+    const isBinding = known?.isBinding === true && known.rateLimit !== null;
+    put(endpointKey, { rateLimit, reportedAt, isBinding });
   }
 
   function chooseNews(count: number): LimitNews[] {
     const now = clock.now();
-    const recent = [...words]
-      .map(([endpointKey, { rateLimit, saidAt }]) => ({
+    const recent = [...reports]
+      .map(([endpointKey, { rateLimit, reportedAt }]) => ({
         endpointKey,
         rateLimit,
-        age: now - saidAt,
+        age: now - reportedAt,
       }))
-      .filter(({ age }) => age <= NEWS_LIFETIME);
+      .filter(({ age }) => age <= PROPAGATION_TIME);
     return drawSome(recent, { count, random });
   }
 
@@ -129,11 +140,12 @@
     note,
     takeNews,
     chooseNews,
-    isEmpty: () => words.size === 0,
-    find: (endpointKey) => readStanding(endpointKey)?.rateLimit ?? undefined,
+    isEmpty: () => reports.size === 0,
+    find: (endpointKey) => findInForce(endpointKey)?.rateLimit ?? undefined,
     isOld(endpointKey) {
-      const word = readStanding(endpointKey);
-      return word !== undefined && clock.now() - word.saidAt > OLD_WORD;
+      const report = findInForce(endpointKey);
+      return report !== undefined &&
+        clock.now() - report.reportedAt > STALE_AFTER;
     },
   };
 }
--- a/packages/coordination/src/endpoint_limits_test.ts
+++ b/packages/coordination/src/endpoint_limits_test.ts
@@ -8,43 +8,44 @@
 
 interface Case {
   name: string;
-  /** What is heard, one after the other. */
-  heard: (limits: EndpointLimits, clock: FakeClock) => Promise<void> | void;
+  /** Applies reports, one after the other. */
+  report: (limits: EndpointLimits, clock: FakeClock) => Promise<void> | void;
   expected: number | undefined;
 }
 
-function tell(rateLimit: number | null, age: Millis) {
+function createNews(rateLimit: number | null, age: Millis) {
   return { endpointKey: KEY, rateLimit, age };
 }
 
-describe("limits that endpoints name", () => {
+describe("limits that endpoints announce", () => {
   const CASES: readonly Case[] = [
-    { name: "nothing", heard: () => {}, expected: undefined },
+    { name: "nothing", report: () => {}, expected: undefined },
     {
-      name: "an endpoint's own word",
-      heard: (limits) => limits.note(KEY, 2, 0),
+      name: "a direct report",
+      report: (limits) => limits.note(KEY, 2, 0),
       expected: 2,
     },
     {
-      name: "an own word that changes",
-      heard(limits) {
+      name: "a direct report that changes",
+      report(limits) {
         limits.note(KEY, 2, 0);
         limits.note(KEY, 0.5, 0);
       },
       expected: 0.5,
     },
     {
-      name: "an own word that is taken back",
-      heard(limits) {
+      name: "a direct report that is withdrawn",
+      report(limits) {
         limits.note(KEY, 2, 0);
         limits.note(KEY, undefined, 0);
       },
       expected: undefined,
     },
     {
-      // Two answers on two connections: the one that was made first comes last.
-      name: "an own word, and an answer to a request sent before it",
-      async heard(limits, clock) {
+      // Two answers on two connections: the one that was sent first arrives
+      // last.
+      name: "a direct report, and an answer to a request sent before it",
+      async report(limits, clock) {
         await clock.advance(1_000);
         limits.note(KEY, 2, 900);
         limits.note(KEY, undefined, 950);
@@ -52,73 +53,73 @@
       expected: 2,
     },
     {
-      // Nothing is sent, so nothing is heard: that ends no limit.
-      name: "an own word of a minute ago",
-      async heard(limits, clock) {
+      // Nothing is sent, so no answer arrives; that ends no limit.
+      name: "a direct report of a minute ago",
+      async report(limits, clock) {
         limits.note(KEY, 2, 0);
         await clock.advance(60_000);
       },
       expected: 2,
     },
     {
-      name: "another entry's word",
-      heard: (limits) => limits.takeNews(tell(2, 100)),
+      name: "another entry's report",
+      report: (limits) => limits.takeNews(createNews(2, 100)),
       expected: 2,
     },
     {
-      name: "another entry's word of a minute ago",
-      async heard(limits, clock) {
-        limits.takeNews(tell(2, 100));
+      name: "another entry's report of a minute ago",
+      async report(limits, clock) {
+        limits.takeNews(createNews(2, 100));
         await clock.advance(60_000);
       },
       expected: undefined,
     },
     {
-      name: "an own word that another entry heard taken back",
-      async heard(limits, clock) {
+      name: "a direct report that another entry saw withdrawn",
+      async report(limits, clock) {
         limits.note(KEY, 2, 0);
         await clock.advance(1_000);
-        limits.takeNews(tell(null, 100));
+        limits.takeNews(createNews(null, 100));
       },
       expected: undefined,
     },
     {
-      name: "an own word, and older news that it was taken back",
-      async heard(limits, clock) {
+      name: "a direct report, and an older update that it was withdrawn",
+      async report(limits, clock) {
         await clock.advance(1_000);
         limits.note(KEY, 2, 0);
-        limits.takeNews(tell(null, 500));
+        limits.takeNews(createNews(null, 500));
       },
       expected: 2,
     },
     {
-      name: "an own word that another entry heard again",
-      async heard(limits, clock) {
+      name: "a direct report that another entry received again",
+      async report(limits, clock) {
         limits.note(KEY, 2, 0);
         await clock.advance(1_000);
-        limits.takeNews(tell(3, 100));
+        limits.takeNews(createNews(3, 100));
         await clock.advance(60_000);
       },
       expected: 3,
     },
   ];
-  for (const { name, heard, expected } of CASES) {
-    it(`stands after ${name}: ${expected}`, async () => {
+  for (const { name, report, expected } of CASES) {
+    it(`are in force after ${name}: ${expected}`, async () => {
       const clock = createFakeClock(0);
       const limits = createEndpointLimits({ clock, random: () => 0 });
-      await heard(limits, clock);
+      await report(limits, clock);
       expect(limits.find(KEY)).to.equal(expected);
     });
   }
 
-  it("is passed on with its age, and its end as well", async () => {
+  it("are propagated with their age, and so is their end", async () => {
     const clock = createFakeClock(0);
     const limits = createEndpointLimits({ clock, random: () => 0 });
     limits.note(KEY, 2, 0);
     await clock.advance(300);
-    expect(limits.chooseNews(4)).to.deep.equal([tell(2, 300)]);
+    expect(limits.chooseNews(4)).to.deep.equal([createNews(2, 300)]);
     limits.note(KEY, undefined, 200);
-    expect(limits.chooseNews(4)).to.deep.equal([tell(null, 100)]);
+    expect(limits.chooseNews(4)).to.deep.equal([createNews(null, 100)]);
     await clock.advance(60_000);
     expect(limits.chooseNews(4)).to.deep.equal([]);
   });
--- a/packages/coordination/src/endpoint_pauses.ts
+++ b/packages/coordination/src/endpoint_pauses.ts
@@ -1,30 +1,33 @@
 /**
- * The pauses that endpoints have asked this entry for, when they turned its
- * requests away.
+ * Tracks the pauses that endpoints have requested from this entry when they
+ * refused its requests.
  *
- * The load it answers: an endpoint that turns all away at once has the fewest
- * requests in progress, so it would be chosen first for as long as it does, and
- * each request would cost a repeat at another one.
+ * An endpoint that refuses everything at once has the fewest requests in
+ * progress. Without the pause it would be chosen first the whole time, and each
+ * request would need a retry at another endpoint.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import { putBounded } from "@mangoreach/shared";
 
-/** What is left of pauses. */
+/** The remaining pauses of endpoints. */
 export interface EndpointPauses {
-  /** An endpoint wants nothing from this entry for so long. */
+  /**
+   * Records that an endpoint accepts nothing from this entry for the duration
+   * of `pause`.
+   */
   note(endpointKey: string, pause: Millis): void;
-  /** What is left of its pause; 0 if there is none. */
+  /** Returns the remaining pause of an endpoint, or 0 if there is none. */
   readLeft(endpointKey: string): Millis;
   /** Whether no pause is known. */
   isEmpty(): boolean;
 }
 
-/** The oldest pause is dropped above this many. */
+/** Maximum number of pauses; above it the oldest is evicted. */
 const MAX_KNOWN = 1_024;
 
-/** Creates the pauses of an entry that was turned away by nobody. */
+/** Creates a tracker that knows of no pause. */
 export function createEndpointPauses(clock: Clock): EndpointPauses {
   const until = new Map<string, Millis>();
 
@@ -35,7 +38,10 @@
     return 0;
   }
 
-  /** Answers overtake each other: a shorter pause does not end a longer one. */
+  /**
+   * Answers may arrive out of order, so a shorter pause does not end a longer
+   * one.
+   */
   function note(endpointKey: string, pause: Millis): void {
     const longest = Math.max(pause, readLeft(endpointKey));
     until.delete(endpointKey);
--- a/packages/coordination/src/endpoint_roster.ts
+++ b/packages/coordination/src/endpoint_roster.ts
@@ -1,11 +1,12 @@
 /**
- * Which endpoints exist, folded from records that the instance list sends one
+ * Tracks which endpoints exist, from records that the instance list sends one
  * by one.
  *
- * Entries lapse while the list is away although the endpoints live; they come
- * back shortly after the list does. Taking those lapses at their word would
- * leave a pool empty for that time, so an endpoint whose removal is read right
- * after the list's return stays until the grace has passed.
+ * Registrations expire while the instance list is unavailable although the
+ * endpoints are alive; they reappear shortly after the list does. Applying
+ * those expiries at once would leave a pool empty in the meantime, so an
+ * endpoint whose removal is read right after the list has recovered stays until
+ * a grace period has passed.
  *
  * @module
  */
@@ -16,26 +17,27 @@
 /** Options of {@linkcode createEndpointRoster}. */
 export interface EndpointRosterOptions {
   clock: Clock;
-  /** How long after the list's return a removal is not believed. */
+  /** How long after the recovery of the instance list removals are deferred. */
   returnGrace: Millis;
-  /** Told of each change of what exists. */
+  /** Called after each change of the set of endpoints. */
   onChange: (endpoints: readonly EndpointInfo[]) => void;
 }
 
-/** The endpoints by the instance list. */
+/** The endpoints in the instance list. */
 export interface EndpointRoster {
-  /** Takes what is said of one endpoint; returns whether that was news. */
+  /** Applies a record of one endpoint; returns whether anything changed. */
   put(endpoint: EndpointInfo): boolean;
   remove(id: string): void;
-  /** Takes a full reading of the list. */
+  /** Applies a full reading of the list. */
   replaceAll(endpoints: readonly EndpointInfo[]): void;
-  /** Notes that the list cannot be read. */
+  /** Records that the list cannot be read. */
   noteAway(): void;
-  /** Notes that the list was read again. */
+  /** Records that the list can be read again. */
   noteBack(): void;
   /**
-   * The list has come back from an older copy of itself, which is read next.
-   * Whoever is unknown here may have left since: it counts once it writes again.
+   * Records that the list was restored from an older copy of itself, which is
+   * read next. An endpoint that is unknown here may have left since the copy
+   * was made; it counts once it registers again.
    */
   noteRestored(): void;
   list(): EndpointInfo[];
@@ -46,53 +48,54 @@
   { clock, returnGrace, onChange }: EndpointRosterOptions,
 ): EndpointRoster {
   const endpoints = new Map<string, EndpointInfo>();
-  /** Removals that are not believed yet. */
-  const doubted = new Map<string, () => void>();
+  /** Deferred removals: functions that cancel their timers, by endpoint id. */
+  const deferred = new Map<string, () => void>();
   let isAway = false;
   let backAt = -Infinity;
   let isRestored = false;
 
-  function tellChange(): void {
+  function notifyChange(): void {
     onChange([...endpoints.values()]);
   }
 
   function put(endpoint: EndpointInfo): boolean {
     const known = endpoints.get(endpoint.id);
-    // Readings reach an entry on several ways, so an earlier one may come later:
-    // it would bring back the room, the marks and the address of what is gone.
+    // Records reach an entry on several paths, so an older one may arrive
+    // later. It would restore the capacity, the marks and the address of an
+    // incarnation that is gone.
     if (known !== undefined && isOutdated(endpoint, known)) return false;
-    doubted.get(endpoint.id)?.();
-    doubted.delete(endpoint.id);
+    deferred.get(endpoint.id)?.();
+    deferred.delete(endpoint.id);
     endpoints.set(endpoint.id, endpoint);
-    const isNews = known === undefined || known.state !== endpoint.state ||
+    const hasChanged = known === undefined || known.state !== endpoint.state ||
       known.address !== endpoint.address || known.pool !== endpoint.pool ||
       known.incarnation !== endpoint.incarnation;
-    if (isNews) tellChange();
-    return isNews;
+    if (hasChanged) notifyChange();
+    return hasChanged;
   }
 
   function remove(id: string): void {
     const known = endpoints.get(id);
-    if (known === undefined || doubted.has(id)) return;
+    if (known === undefined || deferred.has(id)) return;
     const graceLeft = backAt + returnGrace - clock.now();
-    const isDoubtful = known.state === "live" && (isAway || graceLeft > 0);
-    if (!isDoubtful) return drop(id);
+    const isUnverified = known.state === "live" && (isAway || graceLeft > 0);
+    if (!isUnverified) return drop(id);
     const wait = isAway ? returnGrace : graceLeft;
-    doubted.set(id, clock.startTimer(wait, () => drop(id)));
+    deferred.set(id, clock.startTimer(wait, () => drop(id)));
   }
 
   function drop(id: string): void {
-    doubted.delete(id);
-    if (endpoints.delete(id)) tellChange();
+    deferred.delete(id);
+    if (endpoints.delete(id)) notifyChange();
   }
 
   function replaceAll(next: readonly EndpointInfo[]): void {
     const ids = new Set(next.map(({ id }) => id));
     for (const id of [...endpoints.keys()]) if (!ids.has(id)) remove(id);
-    const isDoubtful = isRestored && endpoints.size > 0;
+    const isUnverified = isRestored && endpoints.size > 0;
     isRestored = false;
     for (const endpoint of next) {
-      if (!isDoubtful || endpoints.has(endpoint.id)) put(endpoint);
+      if (!isUnverified || endpoints.has(endpoint.id)) put(endpoint);
     }
   }
 
@@ -116,12 +119,12 @@
 }
 
 /**
- * Whether what is said is older than what is known. Nobody who leaves changes
- * its mind: a copy of the list that says so is one of before.
+ * Whether a report is older than what is known. No endpoint that is leaving
+ * becomes live again, so a copy of the list that says so is from before.
  */
-function isOutdated(said: EndpointInfo, known: EndpointInfo): boolean {
-  if (isOlderIncarnation(said, known)) return true;
-  const isSameStart = said.startedAt !== undefined &&
-    said.startedAt === known.startedAt;
-  return isSameStart && known.state === "leaving" && said.state === "live";
+function isOutdated(reported: EndpointInfo, known: EndpointInfo): boolean {
+  if (isOlderIncarnation(reported, known)) return true;
+  const isSameStart = reported.startedAt !== undefined &&
+    reported.startedAt === known.startedAt;
+  return isSameStart && known.state === "leaving" && reported.state === "live";
 }
--- a/packages/coordination/src/endpoint_roster_test.ts
+++ b/packages/coordination/src/endpoint_roster_test.ts
@@ -22,7 +22,7 @@
     return { clock, roster, changes, listIds };
   }
 
-  it("tells changes, and nothing for a heartbeat", () => {
+  it("notifies changes, and nothing for a heartbeat", () => {
     const { roster, changes } = create();
     const before = changes.length;
     roster.put(createEndpoint("e1"));
@@ -31,25 +31,26 @@
     expect(changes.at(-1)).to.deep.equal(["e1:leaving", "e2:live"]);
   });
 
-  it("drops an endpoint at once in calm times", () => {
+  it("drops an endpoint at once if there was no outage", () => {
     const { roster, listIds } = create();
     roster.remove("e1");
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
-  // An endpoint crashes and starts again under its id. What is learnt of it goes
-  // by incarnations, so the change has to be told although nothing else changed.
-  it("tells an endpoint that started again under its id", () => {
+  // An endpoint crashes and restarts under its id. What is learned about an
+  // endpoint belongs to its incarnation, so the change must be notified
+  // although nothing else changed.
+  it("notifies the restart of an endpoint under its id", () => {
     const { roster, changes } = create();
     const before = changes.length;
     roster.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
     expect(changes.length).to.equal(before + 1);
   });
 
-  // The restart is read from the store; a reading that a peer made before comes
-  // after it. The entry would send work to the address of the incarnation that
-  // is gone, and would take the new one for leaving.
-  it("does not take older news for that of the newer incarnation", () => {
+  // The restart is read from the store; a reading that a peer made before
+  // arrives after it. Applied, it would direct work to the address of the
+  // incarnation that is gone, and mark the new one as leaving.
+  it("does not apply an older reading to the newer incarnation", () => {
     const { roster } = create();
     const newer = { ...createEndpoint("e1"), incarnation: "2", startedAt: 2 };
     roster.put(newer);
@@ -61,10 +62,11 @@
     expect(roster.list()[0]).to.deep.equal(newer);
   });
 
-  // A removal is doubted after an outage, and a reading of the incarnation before
-  // comes late. It says nothing of the endpoint that is gone, but took the doubt
-  // away, and work went to a dead address until it was removed once more.
-  it("does not take older news for a sign of life", async () => {
+  // A removal is deferred after an outage, and a reading of the previous
+  // incarnation arrives late. It says nothing about the endpoint that is gone.
+  // If it cancelled the removal, work would go to a dead address until the
+  // endpoint was removed again.
+  it("does not treat an older reading as a sign of life", async () => {
     const { roster, clock, listIds } = create();
     roster.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
     roster.noteAway();
@@ -75,9 +77,10 @@
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
-  // The list was away and its leases ran out; all endpoints live. Users would
-  // be refused until the endpoints have written again, up to two seconds.
-  it("keeps what lapsed in an outage until it had time to come back", async () => {
+  // The list was unavailable and its leases expired; all endpoints are alive.
+  // Removing them would refuse users until the endpoints have registered again,
+  // which takes up to two seconds.
+  it("keeps endpoints that expired in an outage until they had time to register", async () => {
     const { roster, listIds, clock } = create();
     roster.noteAway();
     await clock.advance(5_000);
@@ -91,8 +94,8 @@
     expect(listIds()).to.deep.equal(["e1"]);
   });
 
-  // The same outage, but the endpoint had said that it leaves: new work that
-  // goes there is cut off.
+  // The same outage, but the endpoint had reported that it is leaving: new work
+  // sent to it would be cut off.
   it("does not keep an endpoint that was leaving", () => {
     const { roster, listIds } = create();
     roster.put(createEndpoint("e1", "leaving"));
@@ -102,23 +105,23 @@
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
-  // After the history was dropped the list is read anew, and lacks what left
-  // meanwhile.
-  it("takes a full reading at its word in calm times", () => {
+  // After its history was truncated the list is read anew, and lacks the
+  // endpoints that left in the meantime.
+  it("applies a full reading at once if there was no outage", () => {
     const { roster, listIds } = create();
     roster.replaceAll([createEndpoint("e2"), createEndpoint("e3")]);
     expect(listIds()).to.deep.equal(["e2", "e3"]);
   });
 
-  describe("before a list that came back from an older copy", () => {
+  describe("with a list restored from an older copy", () => {
     const started = (id: string, state: EndpointState = "live") => ({
       ...createEndpoint(id, state),
       startedAt: 1,
     });
 
-    // An endpoint has left, and the copy still holds it. It serves what it has
-    // for some seconds: sent new work, it would end under it.
-    it("waits for the word of an endpoint that it had dropped", () => {
+    // An endpoint has left, and the copy still contains it. It finishes its
+    // work within some seconds; new work would be cut off when it ends.
+    it("waits for the registration of an endpoint that it had dropped", () => {
       const { roster, listIds } = create();
       roster.remove("e1");
       roster.noteRestored();
@@ -128,8 +131,9 @@
       expect(listIds()).to.have.members(["e1", "e2"]);
     });
 
-    // One that started in the seconds which the copy lacks writes again soon.
-    it("keeps for a while what the copy lacks", async () => {
+    // An endpoint that started in the seconds missing from the copy registers
+    // again soon.
+    it("keeps an endpoint that the copy lacks for a while", async () => {
       const { clock, roster, listIds } = create();
       roster.noteRestored();
       roster.replaceAll([createEndpoint("e1")]);
@@ -138,7 +142,7 @@
       expect(listIds()).to.deep.equal(["e1"]);
     });
 
-    it("does not believe that an endpoint stays after all", () => {
+    it("does not make a leaving endpoint live again", () => {
       const { roster } = create();
       roster.put(started("e3", "leaving"));
       roster.noteRestored();
@@ -149,7 +153,7 @@
       expect(roster.list().map(({ state }) => state)).to.not.include("leaving");
     });
 
-    it("believes all of it where nothing was known", () => {
+    it("applies the whole copy if no endpoint was known", () => {
       const { roster, listIds } = create();
       ["e1", "e2"].forEach((id) => roster.remove(id));
       roster.noteRestored();
--- a/packages/coordination/src/engine_choice.ts
+++ b/packages/coordination/src/engine_choice.ts
@@ -1,18 +1,19 @@
 /**
- * Chooses the model engine of a request whose prompt parts are named.
+ * Selects the model engine for a request whose prompt parts are named.
  *
- * Requests of one session share their first parts, so a session has a home:
- * rendezvous hashing over the engines, which every entry computes alike without
- * news. The load is bounded: an engine that has far more than its share passes
- * the request on to the next in the session's order.
+ * Requests of a session share their first prompt parts, so sessions have
+ * affinity to a home engine: rendezvous hashing over the engines, which every
+ * entry computes alike without coordination. The load is bounded: a request of
+ * an engine that has far more than its share moves on to the next engine in the
+ * session's order.
  *
- * The load that the two groups answer: a few prompts of ten times the usual
- * size make up a third of all reading. An engine reads one for a second, and
- * whoever shares the engine waits for it and gets its events late. So very large
- * prompts have engines of their own. In a model of thirteen engines, of the
- * small requests 0.95 were on time without groups and 0.99 with them, in a burst
- * of twice the load 0.87 and 0.98; of the large ones 0.75 and 0.77, 0.69 and
- * 0.77.
+ * Very large prompts have engines of their own. A few prompts of ten times the
+ * usual size make up a third of all prompt processing. An engine is busy with
+ * one of them for a second, which delays all other requests there and the
+ * events of their streams. In a model of thirteen engines, 0.95 of the small
+ * requests were on time without separate groups and 0.99 with them, and 0.87
+ * and 0.98 in a burst of twice the load; of the large requests 0.75 and 0.77,
+ * and 0.69 and 0.77 in the burst.
  *
  * @module
  */
@@ -21,22 +22,25 @@
 import { listByRendezvous } from "./rendezvous.ts";
 import type { EngineSpec } from "./serving_config.ts";
 
-/** A part of a prompt, in order; the last belongs to the request itself. */
+/** A part of a prompt, in order; the last one belongs to the request itself. */
 export interface PromptPart {
   id: string;
   tokens: number;
 }
 
-/** What is known of an engine here. */
+/** What an entry knows about an engine. */
 export interface EngineView {
   readonly info: EndpointInfo;
-  /** Requests there: own ones, and what it last reported of others. */
+  /**
+   * Requests at the engine: this entry's own ones, and others as last reported
+   * by the engine.
+   */
   readonly load: number;
-  /** How slow it is against what is expected; 1 is normal. */
+  /** Latency relative to what is expected; 1 is normal. */
   readonly slowness: number;
 }
 
-/** The choice of engines in one pool. */
+/** Selects engines in one pool. */
 export interface EngineChoice {
   /** Ranks the engines for a request, best first. */
   list<E extends EngineView>(
@@ -47,34 +51,40 @@
 }
 
 /**
- * An engine may have this many times the mean load, and a little more. Loads
- * are those that are known here: of others' requests only what an engine told
- * within the last seconds, so the mean is too low.
+ * Maximum load of an engine, as a multiple of the mean load plus some slack.
+ * The loads are those known to this entry, and loads from other entries are
+ * known only if an engine reported them within the last seconds, so the mean is
+ * too low.
  */
 const LOAD_BOUND = 1.25;
 const LOAD_SLACK = 3;
 /**
- * Below this share of its slots an engine is not loaded: its steps are hardly
- * longer than with one request, and a prompt read again elsewhere costs more.
+ * An engine below this share of its slots does not count as loaded: its steps
+ * take hardly longer than with one request, and processing the prompt again
+ * elsewhere costs more.
  */
 const FREE_SHARE = 0.25;
 const SLOW_FACTOR = 2.5;
 /**
- * A prompt of so many slots' shares of an engine's memory is very large: from the
- * published figures, so that all entries draw the same line.
+ * A prompt of more tokens than this multiple of a slot's share of an engine's
+ * memory is very large. The line is computed from the published configuration,
+ * so that all entries draw the same one.
  */
 const LARGE_FACTOR = 2;
 /**
- * Very large prompts get this share of the engines, as they are about a third of
- * all reading where prompts differ much. It is fixed: learnt by each entry, it
- * would differ, and sessions would get two homes.
+ * Share of the engines for very large prompts, which are about a third of all
+ * prompt processing where prompt sizes differ much. It is fixed: if each entry
+ * learned it, it would differ between entries, and sessions would get two
+ * homes.
  */
 const LARGE_SHARE = 0.3;
-/** Without a very large prompt for so long, all engines serve everything. */
+/**
+ * Without a very large prompt for this long, all engines serve all requests.
+ */
 const LARGE_MEMORY: Millis = 60_000;
 const LARGE_KEY = "very large prompts";
 
-/** Creates the choice for a pool that has seen no request. */
+/** Creates a selector for a pool that has seen no request. */
 export function createEngineChoice(clock: Clock): EngineChoice {
   let lastLargeAt = -Infinity;
 
@@ -85,18 +95,21 @@
       const hasLarge = clock.now() - lastLargeAt <= LARGE_MEMORY;
       const ranked = listForSession(parts, engines);
       const group = hasLarge ? listLargeGroup(engines) : new Set();
-      const isOwnGroup = (engine: EngineView) => group.has(engine) === isLarge;
+      const isInOwnGroup = (engine: EngineView) =>
+        group.has(engine) === isLarge;
       const isUsable = createUsableCheck(engines, spec);
       return [
-        ...ranked.filter((engine) => isUsable(engine) && isOwnGroup(engine)),
-        ...ranked.filter((engine) => isUsable(engine) && !isOwnGroup(engine)),
+        ...ranked.filter((engine) => isUsable(engine) && isInOwnGroup(engine)),
+        ...ranked.filter((engine) => isUsable(engine) && !isInOwnGroup(engine)),
         ...ranked.filter((engine) => !isUsable(engine)),
       ];
     },
   };
 }
 
-/** By what no other request can have left in an engine's memory. */
+/**
+ * Judged by the part that no other request can have left in an engine's memory.
+ */
 function isVeryLarge(
   parts: readonly PromptPart[],
   { tokenCapacity, slots }: EngineSpec,
@@ -105,7 +118,7 @@
   return own > LARGE_FACTOR * tokenCapacity / slots;
 }
 
-/** The engines of very large prompts, the same at every entry. */
+/** Lists the engines for very large prompts, the same at every entry. */
 function listLargeGroup(engines: readonly EngineView[]): Set<EngineView> {
   const ranked = listByRendezvous(engines, {
     key: LARGE_KEY,
@@ -135,7 +148,7 @@
     load <= bound && slowness <= SLOW_FACTOR * fastest;
 }
 
-/** The longest shared part; the last part is the request's own. */
+/** Returns the longest shared part; the last part is the request's own. */
 function findSessionPart(parts: readonly PromptPart[]): string | undefined {
   return parts.length > 1 ? parts.at(-2)?.id : parts[0]?.id;
 }
--- a/packages/coordination/src/engine_choice_replay_test.ts
+++ b/packages/coordination/src/engine_choice_replay_test.ts
@@ -4,10 +4,10 @@
 import type { EngineView } from "./engine_choice.ts";
 import { createEngineChoice } from "./engine_choice.ts";
 
-/** One kind of request; sizes are spread like a logarithmic normal curve. */
+/** One kind of request; sizes have a log-normal distribution. */
 interface Load {
   name: "draft" | "answer";
-  /** Requests a second. */
+  /** Requests per second. */
   rate: number;
   meanTokens: number;
   spread: number;
@@ -35,11 +35,14 @@
 ];
 const ENGINES = 13;
 const SECONDS = 60;
-const TOKENS_A_MS = 64;
-/** Reading gets slower with what was read before. */
-const MS_A_SQUARED_TOKEN = 0.3e-6;
-/** A first event later than this after the stages makes an answer late. */
-const WAIT_ALLOWED = 300;
+const TOKENS_PER_MS = 64;
+/**
+ * Processing time per squared token: the cost of a token grows with the tokens
+ * before it.
+ */
+const MS_PER_SQUARED_TOKEN = 0.3e-6;
+/** An answer is late if its first event comes later than this after the stages. */
+const MAX_WAIT = 300;
 
 interface Arrival {
   at: number;
@@ -48,15 +51,16 @@
   tokens: number;
 }
 
-function drawArrivals(seed: number, burst: number): Arrival[] {
+function generateArrivals(seed: number, burst: number): Arrival[] {
   const random = new Random(MersenneTwister19937.seed(seed));
-  const drawUnit = () => random.realZeroToOneExclusive();
+  const randomUnit = () => random.realZeroToOneExclusive();
   const arrivals = LOADS.flatMap((load) => {
     const list: Arrival[] = [];
-    const drawGap = () => -Math.log(drawUnit()) * 1_000 / (load.rate * burst);
-    for (let at = drawGap(); at < 1_000 * SECONDS; at += drawGap()) {
-      const normal = Math.sqrt(-2 * Math.log(drawUnit())) *
-        Math.cos(2 * Math.PI * drawUnit());
+    const randomGap = () =>
+      -Math.log(randomUnit()) * 1_000 / (load.rate * burst);
+    for (let at = randomGap(); at < 1_000 * SECONDS; at += randomGap()) {
+      const normal = Math.sqrt(-2 * Math.log(randomUnit())) *
+        Math.cos(2 * Math.PI * randomUnit());
       const { meanTokens, spread, maxTokens, sessions } = load;
       const size = meanTokens * Math.exp(spread * normal - spread ** 2 / 2);
       const tokens = Math.round(Math.min(maxTokens, 1 + size));
@@ -68,12 +72,12 @@
   return arrivals.sort((a, b) => a.at - b.at);
 }
 
-/** The share of answers whose engine had them read in time. */
+/** Returns the share of answers whose prompts were processed in time. */
 async function replayLoad(
   { seed, burst, slotShare }: {
     seed: number;
     burst: number;
-    /** Tokens of an engine's memory for each slot. */
+    /** Tokens of an engine's memory per slot. */
     slotShare: number;
   },
 ): Promise<number> {
@@ -95,24 +99,26 @@
   }));
   let answers = 0;
   let onTime = 0;
-  for (const { at, load, session, tokens } of drawArrivals(seed, burst)) {
+  for (const { at, load, session, tokens } of generateArrivals(seed, burst)) {
     await clock.advance(at - clock.now());
     const parts = [{ id: session, tokens: 500 }, { id: "own", tokens }];
     const [home] = choice.list(parts, engines, spec);
     const index = engines.findIndex(({ info }) => info === home?.info);
-    const reading = tokens / TOKENS_A_MS + MS_A_SQUARED_TOKEN * tokens ** 2;
-    const readAt = Math.max(at, freeAt[index] ?? 0) + reading;
-    freeAt[index] = readAt;
+    const processingTime = tokens / TOKENS_PER_MS +
+      MS_PER_SQUARED_TOKEN * tokens ** 2;
+    const processedAt = Math.max(at, freeAt[index] ?? 0) + processingTime;
+    freeAt[index] = processedAt;
     if (load.name !== "answer") continue;
     answers++;
-    if (readAt - at <= WAIT_ALLOWED) onTime++;
+    if (processedAt - at <= MAX_WAIT) onTime++;
   }
   return onTime / answers;
 }
 
-// Drafts of whole files come between short answers. One file in ten is so large
-// that its engine reads it for a second or more, and answers whose sessions live
-// on that engine get their first event when their callers have stopped waiting.
+// Drafts of whole files arrive between short answers. One file in ten is so
+// large that its engine processes it for a second or more. Answers of sessions
+// with affinity to that engine get their first event after their callers have
+// stopped waiting.
 describe("replay of prompts of very different sizes", () => {
   for (const burst of [1, 2]) {
     it(`serves short answers in time, at ${burst} times the load`, async () => {
@@ -123,10 +129,10 @@
         );
         return shares.reduce((sum, one) => sum + one, 0) / seeds.length;
       };
-      // With this much memory for each slot no prompt counts as very large.
-      const together = await share(1_000_000);
-      const apart = await share(10_285);
-      expect(1 - apart).to.be.below((1 - together) / 2);
+      // With this much memory per slot no prompt counts as very large.
+      const shared = await share(1_000_000);
+      const separate = await share(10_285);
+      expect(1 - separate).to.be.below((1 - shared) / 2);
     });
   }
 });
--- a/packages/coordination/src/engine_choice_test.ts
+++ b/packages/coordination/src/engine_choice_test.ts
@@ -31,7 +31,7 @@
   ];
 }
 
-describe("choice of an engine", () => {
+describe("engine selection", () => {
   const listIds = (session: string, engines: EngineView[]) =>
     createEngineChoice(createFakeClock())
       .list(createParts(session), engines, SPEC).map(({ info }) => info.id);
@@ -64,9 +64,9 @@
     for (const count of counts.values()) expect(count).to.be.within(140, 260);
   });
 
-  // One case gets a quarter of all rulings. Its home would keep all of them
-  // waiting while other engines are idle.
-  it("passes on from a home that has far more than its share", () => {
+  // One case gets a quarter of all rulings. Its home engine would delay all of
+  // them while other engines are idle.
+  it("moves on from a home that has far more than its share", () => {
     const [home = ""] = listIds("hot", IDS.map((id) => createEngine(id)));
     const engines = IDS.map((id) =>
       createEngine(id, { load: id === home ? 12 : 2 })
@@ -83,9 +83,10 @@
     expect(listIds("s1", engines).at(-1)).to.equal(home);
   });
 
-  // Loads of others are known only from engines that answered lately. Against a
-  // mean of such half-known loads, any engine that had just told its load looked
-  // overloaded, and its sessions' prompts were read again elsewhere.
+  // Loads of other entries are known only from engines that answered recently.
+  // Against a mean of such partly known loads, an engine that has just reported
+  // its load would look overloaded, and the prompts of its sessions would be
+  // processed again elsewhere.
   it("keeps a session at a home that has most of its slots free", () => {
     const [home = ""] = listIds("s1", IDS.map((id) => createEngine(id)));
     const engines = IDS.map((id) =>
@@ -122,10 +123,10 @@
       return { clock, choice, listHomes, listLarge };
     }
 
-    // A file of thirty thousand tokens keeps its engine reading for a second.
-    // Whoever shares that engine waits as long for a first event, and streams
-    // that run there pause for longer than their callers allow.
-    it("share no engine with the small ones", () => {
+    // An engine processes a file of thirty thousand tokens for a second.
+    // Requests that share the engine wait as long for a first event, and
+    // streams that run there pause for longer than their callers allow.
+    it("share no engine with small ones", () => {
       const { listHomes, listLarge } = createPool();
       const group = listLarge().slice(0, 3);
       const homes = listHomes(300, TEN);
@@ -133,7 +134,7 @@
       for (const id of group) expect(homes.has(id)).to.equal(false);
     });
 
-    it("leave all engines to the others while there are none", async () => {
+    it("reserve no engine while there are none", async () => {
       const { clock, listHomes, listLarge } = createPool();
       expect(listHomes(300, TEN).size).to.equal(10);
       listLarge();
@@ -142,9 +143,9 @@
       expect(listHomes(300, TEN).size).to.equal(10);
     });
 
-    // All engines of the large prompts go dark at once: what is left serves
+    // All engines for large prompts fail at once; the remaining ones serve
     // everything.
-    it("go to the others when their own engines are not usable", () => {
+    it("use other engines when their own are not usable", () => {
       const { choice, listLarge } = createPool();
       const group = listLarge().slice(0, 3);
       const engines = TEN.map((id) =>
@@ -154,7 +155,7 @@
       expect(group).not.to.include(first?.info.id);
     });
 
-    it("have no engine of their own where there are few", () => {
+    it("have no engine of their own in a small pool", () => {
       const { listHomes, listLarge } = createPool();
       listLarge();
       expect(listHomes(50, ["e1"]).size).to.equal(1);
--- a/packages/coordination/src/entry_allowance.ts
+++ b/packages/coordination/src/entry_allowance.ts
@@ -1,5 +1,6 @@
 /**
- * What one entry may send to endpoints, by what it knows of the other entries.
+ * Combines what one entry may send to endpoints, given what it knows about the
+ * other entries.
  *
  * @module
  */
@@ -34,30 +35,30 @@
   /** The name of this entry. */
   entry: string;
   /**
-   * All entries that send, with this one; undefined while it has not heard of
-   * the others. See {@linkcode listSendingMembers}.
+   * All entries that send, including this one; undefined until this entry has
+   * discovered the others. See {@linkcode listSendingMembers}.
    */
   listMembers: () => readonly PeerRecord[] | undefined;
   directory: Pick<EndpointDirectory, "listUsable">;
-  /** Whether a pool gets its work from feeders. */
+  /** Whether the calls of a pool are sent by dispatchers. */
   isFed: (pool: string) => boolean;
-  /** What may be sent to cold endpoints; left out where none is ever cold. */
+  /** The allowance for cold endpoints; omitted if endpoints are never cold. */
   cold?: ColdAllowance;
 }
 
-/** The allowance of an entry, and the words of endpoints that it follows. */
+/** The allowance of an entry, with the limits and pauses that it applies. */
 export interface EntryAllowance {
   allowance: SendAllowance;
   limits: EndpointLimits;
   pauses: EndpointPauses;
 }
 
-/** Bounds nothing. */
+/** Limits nothing. */
 const NEVER_COLD: ColdAllowance = { mayBegin: () => true, begin: () => {} };
 
 /**
- * The entries that send to endpoints. A cut excuses who is lost behind it, and
- * its share goes to the next.
+ * Lists the entries that send to endpoints. Entries that are lost behind a
+ * network partition are left out, and their share goes to the next ones.
  */
 export function listSendingMembers(
   { self, list }: Pick<Membership, "self" | "list">,
@@ -70,7 +71,7 @@
   return [self, ...others];
 }
 
-/** Creates the allowance of an entry that no endpoint has told anything. */
+/** Creates the allowance of an entry that knows of no limit and no pause. */
 export function createEntryAllowance(
   options: EntryAllowanceOptions,
 ): EntryAllowance {
@@ -78,7 +79,10 @@
   const limits = createEndpointLimits({ clock, random });
   const pauses = createEndpointPauses(clock);
 
-  /** Pieces reach an endpoint from its feeder, requests from any entry. */
+  /**
+   * Calls with pieces reach an endpoint from its dispatcher, requests from any
+   * entry.
+   */
   function listSenders(endpoint: EndpointInfo): string[] | undefined {
     const members = options.listMembers();
     if (members === undefined) return undefined;
