--- a/packages/coordination/src/attainment.ts
+++ b/packages/coordination/src/attainment.ts
@@ -1,6 +1,6 @@
 /**
- * Attainment: the share of offered requests that were answered once, whole and
- * in time, per class, over a sliding time.
+ * Tracks attainment, the share of offered requests that were answered exactly
+ * once, completely and in time, per class and over a sliding time window.
  *
  * @module
  */
@@ -17,14 +17,17 @@
   late: number;
   refused: number;
   failed: number;
-  /** Recent share answered in time, from 0 to 1; 1 before the first request. */
+  /**
+   * Share of recent requests that were answered in time, from 0 to 1; 1 before
+   * the first request.
+   */
   recent: number;
 }
 
 /** Tracks attainment per class at one entry. */
 export interface AttainmentTracker {
   record(className: string, outcome: RequestOutcome): void;
-  /** Recent share answered in time. */
+  /** Returns the share of recent requests that were answered in time. */
   estimate(className: string): number;
   list(): ClassAttainment[];
 }
--- a/packages/coordination/src/caller_elapsed.ts
+++ b/packages/coordination/src/caller_elapsed.ts
@@ -1,39 +1,43 @@
 /**
- * How long ago a caller began, from the time that it still waits.
+ * Estimates how long ago a caller made its first attempt, from the time budget
+ * that it has left.
  *
- * A caller that was told to come back has less time left than one that asks for
- * the first time, and its objective counts from its first try. Taken for new it
- * would go before requests that can still be on time, and be late all the same.
+ * A caller that was told to retry later has less time left than one that sends
+ * its first attempt, and its objective counts from that first attempt. Treated
+ * as new, a retry would be served before requests that can still be on time,
+ * and be late all the same.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Learns the time that callers of a route give a request at first. */
+/** Learns the time budget that callers of a route have for a first attempt. */
 export interface CallerElapsed {
-  /** How long ago the caller began that still waits for `budget`. */
+  /**
+   * Returns how long ago a caller with `budget` left made its first attempt.
+   */
   read(route: string, budget: Millis): Millis;
 }
 
-/** The longest time is forgotten after one to two of these. */
-const MEMORY_TIME: Millis = 30_000;
+/** The longest budget is forgotten after one to two of these periods. */
+const MEMORY_PERIOD: Millis = 30_000;
 
 interface RouteMemory {
   since: Millis;
   longest: Millis;
-  longestBefore: Millis;
+  previousLongest: Millis;
 }
 
-/** Creates the memory of an entry that has seen no request. */
+/** Creates an estimator that has seen no request. */
 export function createCallerElapsed(clock: Clock): CallerElapsed {
   const routes = new Map<string, RouteMemory>();
 
   function find(route: string): RouteMemory {
     const now = clock.now();
     const known = routes.get(route);
-    if (known !== undefined && now - known.since < MEMORY_TIME) return known;
-    const longestBefore = known?.longest ?? 0;
-    const next = { since: now, longest: 0, longestBefore };
+    if (known !== undefined && now - known.since < MEMORY_PERIOD) return known;
+    const previousLongest = known?.longest ?? 0;
+    const next = { since: now, longest: 0, previousLongest };
     routes.set(route, next);
     return next;
   }
@@ -41,7 +45,7 @@
   function read(route: string, budget: Millis): Millis {
     const memory = find(route);
     memory.longest = Math.max(memory.longest, budget);
-    return Math.max(memory.longest, memory.longestBefore) - budget;
+    return Math.max(memory.longest, memory.previousLongest) - budget;
   }
 
   return { read };
--- a/packages/coordination/src/caller_elapsed_test.ts
+++ b/packages/coordination/src/caller_elapsed_test.ts
@@ -2,24 +2,24 @@
 import { expect } from "chai";
 import { createCallerElapsed } from "./caller_elapsed.ts";
 
-describe("time since a caller began", () => {
+describe("time since a caller's first attempt", () => {
   function create() {
     const clock = createFakeClock(0);
     return { clock, elapsed: createCallerElapsed(clock) };
   }
 
-  // In a burst a caller was refused and came back after two seconds. It is late
-  // already; taken for new it would make another one late as well.
-  it("is what a repeat has less than a first try", () => {
+  // In a burst a caller was refused and retried after two seconds. It is late
+  // already; treated as new it would make another request late as well.
+  it("is the difference between the budgets of a retry and a first attempt", () => {
     const { elapsed } = create();
     expect(elapsed.read("route", 8_000)).to.equal(0);
     expect(elapsed.read("route", 6_000)).to.equal(2_000);
     expect(elapsed.read("other", 6_000)).to.equal(0);
   });
 
-  // Callers of a route wait less than before. Their first tries must not count
-  // as late for ever.
-  it("follows callers that have changed their time", async () => {
+  // Callers of a route have a smaller time budget than before. Their first
+  // attempts must not count as late forever.
+  it("adapts to callers that have changed their time budget", async () => {
     const { elapsed, clock } = create();
     elapsed.read("route", 8_000);
     await clock.advance(31_000);
--- a/packages/coordination/src/claim_table.ts
+++ b/packages/coordination/src/claim_table.ts
@@ -1,6 +1,6 @@
 /**
- * Claims in the log: for dated ids the first claim in log order may run the
- * request, decided the same by every reader.
+ * Claims in the log. Among the claims for an id that carries its time, the
+ * first one in log order may run the request; every reader decides the same.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import type { RequestKey } from "./request_id.ts";
 import { formatRequestKey } from "./request_id.ts";
 
-/** One claim as it stands in the log. */
+/** A claim as stored in the log. */
 export interface Claim extends RequestKey {
   /** Unique to one attempt to claim. */
   claimId: string;
   /** The entry incarnation that claims. */
   incarnation: string;
-  /** The time inside the id; decides how long the claim is kept. */
+  /** The time in the id; determines how long the claim is kept. */
   issuedAt: Millis;
 }
 
-/** What became of one attempt to claim. */
+/** The result of one attempt to claim. */
 export type ClaimOutcome =
   | { kind: "won" }
   | { kind: "lost"; holder: string }
@@ -27,24 +27,27 @@
 /** Options of {@linkcode createClaimTable}. */
 export interface ClaimTableOptions {
   clock: Clock;
-  /** How old an id may be; claims are kept for twice as long. */
+  /** Maximum age of an id; claims are kept for twice as long. */
   window: Millis;
 }
 
 /** The claims read from the log so far. */
 export interface ClaimTable {
   readonly size: number;
-  /** Takes in a claim in log order. */
+  /** Applies a claim, in log order. */
   apply(claim: Claim): void;
-  /** The holder's claim, if one was read. */
+  /** Returns the claim that won, if one was read. */
   find(key: RequestKey): Claim | undefined;
-  /** Resolves once the claim was read, or `unknown` when `signal` aborts. */
+  /**
+   * Resolves once the claim has been read, or to `unknown` when `signal`
+   * aborts.
+   */
   waitFor(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome>;
-  /** Whether the id is of an age at which claims can prove anything. */
+  /** Whether claims are conclusive for an id of this age. */
   isWithinWindow(issuedAt: Millis): boolean;
 }
 
-/** Callers' clocks may be ahead of ours by this much. */
+/** Maximum time that callers' clocks may be ahead. */
 const MAX_AHEAD: Millis = 60_000;
 const SWEEP_EVERY = 1_024;
 const KEEP_FACTOR = 2;
--- a/packages/coordination/src/claim_table_test.ts
+++ b/packages/coordination/src/claim_table_test.ts
@@ -21,9 +21,9 @@
     return { clock, table: createClaimTable({ clock, window: 10_000 }) };
   }
 
-  // The caller sends a notice to entry a, hears nothing, and sends it to entry
-  // b. Both claim it; the log puts b first, so a must not run it.
-  it("lets the first in log order win, whoever asked first", async () => {
+  // The caller sends a notice to entry a, gets no answer, and sends it to entry
+  // b. Both claim it; the log orders b first, so a must not run it.
+  it("lets the first in log order win, whoever waited first", async () => {
     const { table } = create();
     const a = table.waitFor(claim("a"), NEVER);
     const b = table.waitFor(claim("b"), NEVER);
@@ -37,7 +37,7 @@
     expect(table.find(claim("c"))?.claimId).to.equal("b");
   });
 
-  it("counts a claim once whose append was repeated", async () => {
+  it("counts a claim once if its append was repeated", async () => {
     const { table } = create();
     table.apply(claim("a"));
     table.apply(claim("a"));
@@ -54,7 +54,7 @@
     expect(await waiting).to.deep.equal({ kind: "unknown" });
   });
 
-  it("keeps accounts apart that use the same id", async () => {
+  it("separates accounts that use the same id", async () => {
     const { table } = create();
     table.apply({ ...claim("a"), account: "portal" });
     table.apply(claim("b"));
@@ -63,10 +63,10 @@
     });
   });
 
-  // The claim expires while the caller still retries: the id would look fresh.
+  // If the claim expired while the caller still retries, the id would look new.
   // Ids carry their time, and one older than the window is not accepted at all,
   // while claims are kept for twice the window.
-  it("forgets claims only after their ids are refused as too old", async () => {
+  it("drops claims only after their ids are refused as too old", async () => {
     const { table, clock } = create();
     table.apply(claim("a"));
     await clock.advance(10_001);
--- a/packages/coordination/src/config_fold.ts
+++ b/packages/coordination/src/config_fold.ts
@@ -1,9 +1,10 @@
 /**
- * Decides which published configuration is in force, the same at every reader.
+ * Decides which published configuration is in force, identically at every
+ * reader.
  *
- * A publish names the version it is based on. The first in log order that is
- * based on the version in force wins; the others are rejected. Versions only
- * rise, so nothing that arrives late can revert a configuration.
+ * A publish names the version that it is based on. The first one in log order
+ * that is based on the version in force wins; the others are rejected. Versions
+ * only increase, so nothing that arrives late can revert a configuration.
  *
  * @module
  */
@@ -18,45 +19,54 @@
     config: T;
   }
   | {
-    /** A copy of what is in force, written before the original expires. */
+    /**
+     * A copy of the configuration in force, written before the original
+     * expires.
+     */
     kind: "carry_forward";
     publishId: string;
     author: string;
     version: number;
-    /** The last offset that had been folded into this version. */
+    /** The last offset that was applied to reach this version. */
     asOf: number;
     config: T;
   };
 
-/** A configuration in force. */
+/** The configuration in force. */
 export interface ConfigInForce<T> {
   version: number;
   publishId: string;
   author: string;
-  /** The last offset folded when this state was taken. */
+  /** The last offset applied when this state was captured. */
   asOf: number;
   config: T;
 }
 
-/** What a record did. */
+/** The effect of a record. */
 export type FoldOutcome = "in_force" | "rejected" | "ignored";
 
-/** Where a record stands in the log. */
+/** The position of a record in the log. */
 export interface LogPosition {
   offset: number;
 }
 
-/** The fold of one reader. */
+/** The fold of one reader over the configuration stream. */
 export interface ConfigFold<T> {
   readonly inForce: ConfigInForce<T> | undefined;
-  /** The last offset folded; -1 before the first record. */
+  /** The last offset applied; -1 before the first record. */
   readonly asOf: number;
-  /** Whether publishes can be decided; only such a reader carries forward. */
+  /**
+   * Whether publishes can be decided; only a reader that can do so carries the
+   * configuration forward.
+   */
   readonly isComplete: boolean;
-  /** Tells that reading starts at `offset` because older records expired. */
+  /** Starts reading at `offset` because older records have expired. */
   startAt(offset: number): void;
   apply(record: ConfigRecord<T>, position: LogPosition): FoldOutcome;
-  /** Takes what a peer has in force, if that is newer; for log outages. */
+  /**
+   * Applies a peer's configuration in force if it is newer; used while the log
+   * is unavailable.
+   */
   adopt(state: ConfigInForce<T>): FoldOutcome;
 }
 
@@ -70,11 +80,11 @@
   let inForce: ConfigInForce<T> | undefined;
   let asOf = -1;
   /**
-   * Set while this reader cannot decide about publishes. A reader that starts
-   * after older records expired may see a publish without the one that beat
-   * it. It shows as two readers with different configurations under the same
-   * version. The guard holds because publishes wait here until a base covers
-   * everything that was missed.
+   * The offset at which reading started, set while this reader cannot decide
+   * about publishes. A reader that starts after older records have expired may
+   * see a publish without the one that won against it; two readers would then
+   * have different configurations under the same version. So publishes are held
+   * back here until a base covers everything that was missed.
    */
   let gapBefore: number | undefined;
   let pending: PendingPublish<T>[] = [];
--- a/packages/coordination/src/config_fold_test.ts
+++ b/packages/coordination/src/config_fold_test.ts
@@ -26,7 +26,7 @@
   };
 }
 
-/** Reads `records` from `start` on, as an entry that starts late does. */
+/** Reads `records` from `start` on, like an entry that starts late. */
 function fold(records: readonly Record[], start = 0) {
   const reader = createConfigFold<string>();
   if (start > 0) reader.startAt(start);
@@ -37,28 +37,28 @@
 }
 
 describe("config fold", () => {
-  // Two operators publish at the same moment, both having seen version 1. The
-  // log puts one first; every place must take that one and reject the other.
-  it("takes the first of two conflicting publishes and rejects the other", () => {
+  // Two operators publish at the same time, both based on version 1. The log
+  // orders one first; every place must apply that one and reject the other.
+  it("applies the first of two conflicting publishes and rejects the other", () => {
     const reader = fold([publish("a", 0), publish("b", 1), publish("c", 1)]);
     expect(reader.inForce).to.include({ version: 2, config: "b" });
   });
 
-  // The answer to an append was lost and the operator's tool appended again.
-  it("counts a publish once that stands in the log twice", () => {
+  // The answer to an append was lost, and the operator's tool appended again.
+  it("applies a publish once if it is in the log twice", () => {
     const reader = fold([publish("a", 0), publish("a", 0), publish("b", 1)]);
     expect(reader.inForce).to.include({ version: 2, config: "b" });
   });
 
-  // An entry was slow to carry version 1 forward; version 2 was published
-  // meanwhile. The copy comes after it in the log and must not revert it.
-  it("ignores a copy that comes late", () => {
+  // An entry was slow to carry version 1 forward, and version 2 was published
+  // in the meantime. The copy follows it in the log and must not revert it.
+  it("ignores a copy that arrives late", () => {
     const reader = fold([publish("a", 0), publish("b", 1), carry("a", 1, 0)]);
     expect(reader.inForce).to.include({ version: 2, config: "b" });
   });
 
-  // Old records have expired. A starting entry sees a publish that had lost to
-  // one it cannot see any more; taking it would split the site.
+  // Old records have expired. A starting entry sees a publish that lost to one
+  // that it cannot see any more; applying it would split the site.
   it("does not decide about publishes before a base covers the gap", () => {
     const records = [publish("a", 0), publish("b", 1), publish("c", 1)];
     expect(fold(records, 2).inForce).to.equal(undefined);
@@ -66,9 +66,10 @@
     expect(later.inForce).to.include({ version: 2, config: "b" });
   });
 
-  // The copy that a late reader finds first is old: the publish that followed it
-  // expired. Deciding on its ground would take a publish that everyone rejected.
-  it("does not decide on the ground of a copy that does not cover the gap", () => {
+  // The first copy that a late reader finds is outdated: the publish that
+  // followed it has expired. Based on that copy, the reader would apply a
+  // publish that everyone else rejected.
+  it("does not decide based on a copy that does not cover the gap", () => {
     const records = [
       publish("a", 0),
       publish("b", 1),
@@ -91,7 +92,7 @@
     expect(fold(records, 2).inForce).to.include({ version: 3, config: "c" });
   });
 
-  it("takes a newer configuration from a peer and never an older one", () => {
+  it("applies a newer configuration from a peer and never an older one", () => {
     const reader = fold([publish("a", 0)]);
     const peer = {
       version: 3,
@@ -106,7 +107,7 @@
     expect(reader.inForce).to.include({ version: 3, config: "c" });
   });
 
-  it("agrees at every reader and never goes back, whatever operators do", () => {
+  it("agrees at every reader and never reverts, whatever operators do", () => {
     const step = fc.record({
       lag: fc.integer({ min: 0, max: 3 }),
       isCopy: fc.boolean(),
--- a/packages/coordination/src/deadline.ts
+++ b/packages/coordination/src/deadline.ts
@@ -5,21 +5,21 @@
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** The point in time by which the whole answer must be with the caller. */
+/** The time by which the caller must have the complete answer. */
 export interface Deadline {
   readonly at: Millis;
-  /** Milliseconds left; zero or less when it has passed. */
+  /** Milliseconds left; zero or less once it has passed. */
   remaining(): Millis;
   hasPassed(): boolean;
-  /** Aborts when the deadline passes, or when the caller goes away. */
+  /** Aborts when the deadline passes, or when the caller disconnects. */
   readonly signal: AbortSignal;
-  /** Aborts now: the request was given up. */
+  /** Aborts at once, for a request that is abandoned. */
   cancel(reason: CancelReason): void;
   /** Frees the timer; must be called once when the request has ended. */
   release(): void;
 }
 
-/** Why the work of a request was stopped. */
+/** Why the work on a request was stopped. */
 export type CancelReason = "deadline" | "caller_gone" | "shutdown" | "hopeless";
 
 /** Options of {@linkcode createDeadline}. */
@@ -29,7 +29,7 @@
   budget: Millis;
 }
 
-/** Creates a deadline that starts to run now. */
+/** Creates a deadline that starts now. */
 export function createDeadline({ clock, budget }: DeadlineOptions): Deadline {
   const at = clock.now() + budget;
   const controller = new AbortController();
--- a/packages/coordination/src/delay_model.ts
+++ b/packages/coordination/src/delay_model.ts
@@ -1,36 +1,38 @@
 /**
- * Expected time to the first answer of endpoints that work on many requests at
- * once, by the size of the request.
+ * Estimates the time to the first answer of endpoints that work on many
+ * requests concurrently, by request size.
  *
- * The load it answers: prompts of very different sizes share an engine, and one
- * of fifty thousand tokens holds up all others there for seconds. So what an
- * answer takes beyond its own work is a delay that others cause, of the same
- * length for a small request as for a large one. Taken as a factor, the delays
- * of small requests would make every large one look hopeless, and an engine that
- * reads one large prompt look many times too slow.
+ * Prompts of very different sizes share an engine, and one of fifty thousand
+ * tokens blocks all others there for seconds. The latency beyond a request's
+ * own work is therefore a delay caused by other requests, and is as long for a
+ * small request as for a large one. Modeled as a factor, the delays of small
+ * requests would make every large one look infeasible, and an engine that
+ * processes one large prompt look many times too slow.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 import { createLatencyModel } from "./latency_model.ts";
 
-/** Learns what work of a size takes and how long others hold it up. */
+/**
+ * Learns the latency of work by size, and the delay that other requests add.
+ */
 export interface DelayModel {
   /**
-   * Adds a measurement; returns its ratio to what is expected, where delays of
-   * the usual length count little.
+   * Adds a measurement; returns its ratio to the expected latency, on which
+   * delays of the usual length have little effect.
    */
   record(size: number, latency: Millis): number;
-  /** The time that work of `size` takes alone. */
+  /** Latency of work of `size` without other requests. */
   estimateUnloaded(size: number): Millis;
-  /** The same with the mean delay at present. */
+  /** The same plus the current mean delay. */
   estimateUsual(size: number): Millis;
 }
 
-/** Follows a change of the load within some thirty answers. */
+/** Adapts to a change of the load within about thirty answers. */
 const MEAN_WEIGHT = 0.05;
 
-/** Creates a model that has seen nothing. */
+/** Creates a model without measurements. */
 export function createDelayModel(): DelayModel {
   const latencies = createLatencyModel();
   let meanDelay: Millis = 0;
--- a/packages/coordination/src/draw.ts
+++ b/packages/coordination/src/draw.ts
@@ -1,20 +1,20 @@
 /**
- * Drawing from a list.
+ * Random sampling.
  *
  * @module
  */
 
-/** Some of a list, each as likely as any other. */
+/** Samples items of a list uniformly, without replacement. */
 export function drawSome<T>(
   from: readonly T[],
   { count, random }: { count: number; random: () => number },
 ): T[] {
   const left = [...from];
-  const drawn: T[] = [];
-  while (drawn.length < count && left.length > 0) {
+  const sample: T[] = [];
+  while (sample.length < count && left.length > 0) {
     const at = Math.floor(random() * left.length);
     const [chosen] = left.splice(at, 1);
-    if (chosen !== undefined) drawn.push(chosen);
+    if (chosen !== undefined) sample.push(chosen);
   }
-  return drawn;
+  return sample;
 }
--- a/packages/coordination/src/event_rate.ts
+++ b/packages/coordination/src/event_rate.ts
@@ -1,33 +1,33 @@
 /**
- * How often something happens at present: events a second, over about a second
- * or another time.
+ * Tracks the current rate of an event in events per second, over about a second
+ * or another time constant.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** A rate that forgets. */
+/** A rate with exponential decay. */
 export interface EventRate {
-  /** Notes that it happened, several times if so. */
+  /** Records one event, or `count` events. */
   record(count?: number): void;
-  /** Events a second. */
+  /** Returns the events per second. */
   read(): number;
 }
 
 const TIME_CONSTANT: Millis = 1_000;
 
-/** Creates a rate of zero that forgets over `timeConstant`. */
+/** Creates a rate of zero that decays with `timeConstant`. */
 export function createEventRate(
   clock: Clock,
   timeConstant: Millis = TIME_CONSTANT,
 ): EventRate {
   let value = 0;
-  let at = clock.now();
+  let updatedAt = clock.now();
 
   function read(): number {
     const now = clock.now();
-    value *= Math.exp((at - now) / timeConstant);
-    at = now;
+    value *= Math.exp((updatedAt - now) / timeConstant);
+    updatedAt = now;
     return value;
   }
 
--- a/packages/coordination/src/examples_test.ts
+++ b/packages/coordination/src/examples_test.ts
@@ -3,7 +3,7 @@
 import { runLeaseExample } from "../examples/lease_over_any_log.ts";
 
 describe("examples of embedding", () => {
-  it("hand a lease over with a higher fencing number", async () => {
+  it("transfer a lease with a higher fencing number", async () => {
     expect(await runLeaseExample()).to.deep.equal([
       "worker-a holds 0",
       "worker-b must wait",
@@ -12,7 +12,7 @@
     ]);
   });
 
-  it("bound what a service takes and what callers try again", async () => {
+  it("limit what a service accepts and what callers retry", async () => {
     const { answered, refused, retries } = await runGuardedService(20);
     expect(answered + refused).to.equal(20);
     expect(answered).to.be.at.least(4);
--- a/packages/coordination/src/failure.ts
+++ b/packages/coordination/src/failure.ts
@@ -6,8 +6,9 @@
 import type { HttpFault, Millis } from "@mangoreach/shared";
 
 /**
- * Whether a request ran. `not_run` is a promise: no call that might execute
- * left the system. Whoever cannot prove that says `may_have_run`.
+ * Whether a request ran. `not_run` is a guarantee: no call that might execute
+ * it has left the system. Where that cannot be proved, the verdict is
+ * `may_have_run`.
  */
 export type Verdict = "not_run" | "may_have_run" | "ran";
 
@@ -27,17 +28,16 @@
   | "duplicate"
   | "outcome_unknown";
 
-/** A typed error; every layer passes it on or makes its verdict weaker. */
+/** A typed error; every layer passes it on or weakens its verdict. */
 export interface Failure {
   kind: FailureKind;
   verdict: Verdict;
-  /** Plain text without secrets, fit for a caller or an operator. */
+  /** Plain text without secrets, suitable for callers and operators. */
   message: string;
-  /** When asking again makes sense; absent where it does not. */
+  /** When a retry makes sense; absent if it does not. */
   retryAfterMs?: Millis;
 }
 
-/** Creates a failure. */
 export function createFailure(
   kind: FailureKind,
   fields: Omit<Failure, "kind">,
@@ -45,14 +45,14 @@
   return { kind, ...fields };
 }
 
-/** The verdict of two facts about the same request: the more careful one. */
+/** Combines two verdicts about the same request into the more cautious one. */
 export function combineVerdicts(a: Verdict, b: Verdict): Verdict {
   if (a === "ran" || b === "ran") return "ran";
   if (a === "may_have_run" || b === "may_have_run") return "may_have_run";
   return "not_run";
 }
 
-/** The failure of a call that got no usable answer. */
+/** Creates the failure of a call that got no usable answer. */
 export function createCallFailure(peer: string, fault: HttpFault): Failure {
   const verdict = fault.sent === "no" ? "not_run" : "may_have_run";
   const kind = FAULT_KINDS[fault.kind];
--- a/packages/coordination/src/knowledge_age.ts
+++ b/packages/coordination/src/knowledge_age.ts
@@ -1,9 +1,11 @@
 /**
- * How old the knowledge of a process is, and whether it may still act on it.
+ * Tracks how old the data of a process is, which decides whether the process
+ * may still act on it.
  *
- * A process that is stopped or suspended wakes up with old knowledge and does
- * not notice: its monotonic clock may not have counted the pause, and a wall
- * clock may have been set back. So the age is the larger of what both say.
+ * A process that is stopped or suspended resumes with stale data and does not
+ * notice: its monotonic clock may not have counted the pause, and the wall
+ * clock may have been set back. The age is therefore the larger one of both
+ * clocks.
  *
  * @module
  */
@@ -12,27 +14,32 @@
 /** Options of {@linkcode createKnowledgeAge}. */
 export interface KnowledgeAgeOptions {
   clock: Clock;
-  /** The time of day; counts on while a process is suspended. */
+  /**
+   * Returns the wall clock time, which advances while a process is suspended.
+   */
   readWallTime: () => Millis;
 }
 
-/** A point in time by both clocks. */
+/** A point in time on both clocks. */
 export interface KnowledgeTime {
   monotonic: Millis;
   wall: Millis;
 }
 
-/** The age of what is known from one source. */
+/** The age of the data from one source. */
 export interface KnowledgeAge {
-  /** The present by both clocks; to be taken before the source is asked. */
+  /**
+   * Returns the current time on both clocks; to be called before the source is
+   * queried.
+   */
   readTime(): KnowledgeTime;
-  /** Notes that the source confirmed what is known, as of `askedAt`. */
-  noteConfirmed(askedAt: KnowledgeTime): void;
-  /** Infinity before the first confirmation. */
+  /** Records that the source confirmed the data as of `askedAt`. */
+  noteConfirmed(queriedAt: KnowledgeTime): void;
+  /** Returns the age of the data; infinity before the first confirmation. */
   read(): Millis;
 }
 
-/** Creates the age of knowledge that was never confirmed. */
+/** Creates the age of data that was never confirmed. */
 export function createKnowledgeAge(
   { clock, readWallTime }: KnowledgeAgeOptions,
 ): KnowledgeAge {
@@ -42,10 +49,10 @@
     return { monotonic: clock.now(), wall: readWallTime() };
   }
 
-  function noteConfirmed(askedAt: KnowledgeTime): void {
+  function noteConfirmed(queriedAt: KnowledgeTime): void {
     const isNewer = confirmed === undefined ||
-      askedAt.monotonic >= confirmed.monotonic;
-    if (isNewer) confirmed = askedAt;
+      queriedAt.monotonic >= confirmed.monotonic;
+    if (isNewer) confirmed = queriedAt;
   }
 
   function read(): Millis {
--- a/packages/coordination/src/knowledge_age_test.ts
+++ b/packages/coordination/src/knowledge_age_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createKnowledgeAge } from "./knowledge_age.ts";
 
-describe("age of knowledge", () => {
+describe("data age", () => {
   function create() {
     const clock = createFakeClock(0);
     let wallOffset = 0;
@@ -18,27 +18,27 @@
     expect(create().age.read()).to.equal(Infinity);
   });
 
-  // A reading waits a second for a change and finds none. What it confirms was
-  // true when it was asked for; a change after that may be on its way.
-  it("counts from when the source was asked, not from its answer", async () => {
+  // A read waits a second for a change and finds none. It confirms the state at
+  // the time of the query; a later change may be on its way.
+  it("counts from the query of the source, not from its answer", async () => {
     const { clock, age } = create();
-    const askedAt = age.readTime();
+    const queriedAt = age.readTime();
     await clock.advance(1_000);
-    age.noteConfirmed(askedAt);
+    age.noteConfirmed(queriedAt);
     expect(age.read()).to.equal(1_000);
   });
 
-  // A user's key is taken away while the machine is suspended. The monotonic
-  // clock did not count the pause, so by it the keys are fresh.
-  it("counts a pause that only the wall clock saw", () => {
+  // A user's key is revoked while the machine is suspended. The monotonic clock
+  // did not count the pause, so by that clock the keys are fresh.
+  it("counts a pause that only the wall clock measured", () => {
     const { age, moveWall } = create();
     age.noteConfirmed(age.readTime());
     moveWall(30_000);
     expect(age.read()).to.equal(30_000);
   });
 
-  // The time of day is set back: by it the knowledge is younger than it is.
-  it("is not made younger by a wall clock that is set back", async () => {
+  // The wall clock is set back: by that clock the data is fresher than it is.
+  it("is not reduced by a wall clock that is set back", async () => {
     const { clock, age, moveWall } = create();
     age.noteConfirmed(age.readTime());
     await clock.advance(4_000);
@@ -46,7 +46,7 @@
     expect(age.read()).to.equal(4_000);
   });
 
-  it("keeps the newest confirmation when answers come out of order", async () => {
+  it("keeps the newest confirmation when answers arrive out of order", async () => {
     const { clock, age } = create();
     const first = age.readTime();
     await clock.advance(500);
--- a/packages/coordination/src/latency_model.ts
+++ b/packages/coordination/src/latency_model.ts
@@ -1,36 +1,45 @@
 /**
- * Expected service time by input size, learnt from what was measured.
+ * Estimates service time by input size from measurements.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 
-/** Learns the time that work of a size takes. */
+/** Learns the service time of work by size. */
 export interface LatencyModel {
   /** Adds a measurement; returns its ratio to the unloaded time. */
   record(size: number, latency: Millis): number;
-  /** The time that work of `size` takes without queueing. */
+  /** Service time of work of `size` without queueing. */
   estimateUnloaded(size: number): Millis;
-  /** The typical time at present. */
+  /** Mean time under the present load. */
   estimateTypical(size: number): Millis;
-  /** The time that about one in twenty exceeds at present. */
+  /**
+   * Time that about one request in twenty exceeds under the present load (95th
+   * percentile).
+   */
   estimateSlow(size: number): Millis;
 }
 
-/** Sizes are put into buckets by powers of two up to 2^23. */
+/** Sizes are bucketed by powers of two, up to 2^23. */
 const BUCKETS = 24;
 const DEFAULT_TIME: Millis = 20;
-/** Weights of a low tracker: it follows fast downwards, slowly upwards. */
+/**
+ * Smoothing weights of the unloaded time: it follows faster measurements
+ * quickly and slower ones slowly, and so tracks a low quantile.
+ */
 const FALL_WEIGHT = 0.2;
 const RISE_WEIGHT = 0.01;
 const TYPICAL_WEIGHT = 0.05;
-/** Steps of the slow-ratio tracker, whose balance lies at 95 in 100. */
+/**
+ * Steps of the estimate of the slow ratio, which balance at the 95th
+ * percentile.
+ */
 const SLOW_RISE = 0.19;
 const SLOW_FALL = 0.01;
 const MAX_RATIO = 20;
 const START_SLOW_RATIO = 2;
 
-/** Creates a model that has seen nothing. */
+/** Creates a model without measurements. */
 export function createLatencyModel(): LatencyModel {
   const unloaded: number[] = new Array(BUCKETS).fill(0);
   let typicalRatio = 1;
@@ -71,7 +80,10 @@
   return Math.min(BUCKETS - 1, Math.floor(Math.log2(Math.max(1, size))));
 }
 
-/** A size never seen is taken to cost as much as the nearest one seen. */
+/**
+ * For a size without measurements, returns the time of the nearest bucket that
+ * has some.
+ */
 function findNearest(times: number[], bucket: number): number | undefined {
   for (let distance = 1; distance < BUCKETS; distance++) {
     const below = times[bucket - distance];
--- a/packages/coordination/src/latency_model_test.ts
+++ b/packages/coordination/src/latency_model_test.ts
@@ -2,7 +2,7 @@
 import { createLatencyModel } from "./latency_model.ts";
 
 describe("latency model", () => {
-  it("learns times by size and guesses an unseen size from the nearest", () => {
+  it("learns times by size and estimates an unseen size from the nearest one", () => {
     const model = createLatencyModel();
     for (let i = 0; i < 50; i++) {
       model.record(100, 10);
--- a/packages/coordination/src/learning_time.ts
+++ b/packages/coordination/src/learning_time.ts
@@ -1,15 +1,19 @@
 /**
- * How long an entry reckons with others that it has not heard of yet.
+ * The period after its start in which an entry assumes that there are others it
+ * has not discovered yet.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Until then an entry has not heard of all others since its start. */
-const LEARNING_TIME: Millis = 5_000;
+/** Time after its start by which an entry has discovered all others. */
+const DISCOVERY_PERIOD: Millis = 5_000;
 
-/** Creates the question whether this entry, which starts now, still learns. */
+/**
+ * Creates a check of whether this entry, which starts now, is still discovering
+ * others.
+ */
 export function createLearningCheck(clock: Clock): () => boolean {
   const startedAt = clock.now();
-  return () => clock.now() - startedAt < LEARNING_TIME;
+  return () => clock.now() - startedAt < DISCOVERY_PERIOD;
 }
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -2,10 +2,10 @@
  * Leases in the log. The offset of the record that acquired a lease is its
  * fencing number, so a later holder always has a higher one.
  *
- * Whether a lease was granted is decided by the times that the log stamps on
- * records, so that all readers decide the same. A holder judges its own lease
- * by its own clock from the moment before it sent the record, which is never
- * later than the log's time, and stops before the lease can lapse.
+ * Whether a lease is granted is decided by the log's timestamps of the records,
+ * so that all readers decide the same. A holder checks its own lease by its own
+ * clock, counted from just before it sent the record, which is never later than
+ * the log's timestamp. It therefore stops before the lease can expire.
  *
  * @module
  */
@@ -14,17 +14,17 @@
 /** A record of the lease stream. */
 export interface LeaseRecord {
   kind: "acquire" | "renew" | "release";
-  /** What the lease is for, such as `engine/e1`. */
+  /** The resource that the lease is for, such as `engine/e1`. */
   resource: string;
   holder: string;
-  /** Unique to one attempt. */
+  /** Unique to one attempt to acquire. */
   attemptId: string;
   duration: Millis;
-  /** The fencing number that is renewed or released. */
+  /** The fencing number of the lease that is renewed or released. */
   fence?: number;
 }
 
-/** Where and when the log placed a record. */
+/** The offset and timestamp of a record in the log. */
 export interface LoggedAt {
   offset: number;
   time: Millis;
@@ -40,13 +40,13 @@
   expiresAt: Millis;
 }
 
-/** What a record did. */
+/** The effect of a record. */
 export type LeaseOutcome = "granted" | "renewed" | "released" | "refused";
 
-/** The leases as far as the log was read. */
+/** The leases as of the last record applied. */
 export interface LeaseTable {
   apply(record: LeaseRecord, at: LoggedAt): LeaseOutcome;
-  /** The last lease granted; it may have lapsed. */
+  /** Returns the last lease granted; it may have expired. */
   find(resource: string): Lease | undefined;
 }
 
@@ -59,7 +59,7 @@
     if (record.kind === "acquire") return acquire(record, { at, current });
     const isHolder = current !== undefined && current.fence === record.fence &&
       current.holder === record.holder;
-    // A holder that was paused past its lease must not renew it back to life.
+    // A holder that was paused beyond the end of its lease must not renew it.
     if (!isHolder || at.time > current.expiresAt) return "refused";
     if (record.kind === "release") {
       leases.set(record.resource, { ...current, expiresAt: at.time });
@@ -88,12 +88,12 @@
   return { apply, find: (resource) => leases.get(resource) };
 }
 
-/** A holder's own view of its lease. */
+/** A holder's view of its own lease. */
 export interface HeldLease {
   readonly fence: number;
-  /** Whether orders may still be sent under it. */
+  /** Whether the holder may still send orders under it. */
   isValid(): boolean;
-  /** Notes a renewal whose record was sent at `sentAt` by this clock. */
+  /** Records a renewal whose record was sent at `sentAt` by this clock. */
   extend(sentAt: Millis): void;
 }
 
@@ -104,11 +104,14 @@
   duration: Millis;
   /** When the acquiring record was sent, by this clock. */
   sentAt: Millis;
-  /** Stops this long before the end, for the way of an order to an engine. */
+  /**
+   * How long before its end the holder stops using the lease; covers the
+   * transfer time of an order to an engine.
+   */
   margin: Millis;
 }
 
-/** Creates a holder's view of a lease that was granted. */
+/** Creates a holder's view of a granted lease. */
 export function createHeldLease(
   { clock, fence, duration, sentAt, margin }: HeldLeaseOptions,
 ): HeldLease {
@@ -116,8 +119,8 @@
   return {
     fence,
     isValid: () => clock.now() < until,
-    extend(renewedAt) {
-      until = Math.max(until, renewedAt + duration - margin);
+    extend(renewalSentAt) {
+      until = Math.max(until, renewalSentAt + duration - margin);
     },
   };
 }
--- a/packages/coordination/src/lease_test.ts
+++ b/packages/coordination/src/lease_test.ts
@@ -19,7 +19,7 @@
 }
 
 describe("lease table", () => {
-  it("grants to the first and refuses others until it lapses", () => {
+  it("grants to the first and refuses others until it expires", () => {
     const table = createLeaseTable();
     expect(table.apply(record("acquire", "a"), { offset: 3, time: 0 }))
       .to.equal("granted");
@@ -30,9 +30,10 @@
     expect(table.find("engines/engine")).to.include({ holder: "b", fence: 5 });
   });
 
-  // A holder is paused past its lease and renews when it wakes. Another has the
-  // lease by then; the renewal names the old fencing number and is refused.
-  it("refuses the renewal of a holder that was paused past its lease", () => {
+  // A holder is paused beyond the end of its lease and renews after it resumes.
+  // Another holder has the lease by then; the renewal names the old fencing
+  // number and is refused.
+  it("refuses the renewal of a holder that was paused beyond its lease", () => {
     const table = createLeaseTable();
     table.apply(record("acquire", "a"), { offset: 1, time: 0 });
     expect(table.apply(record("renew", "a", 1), { offset: 2, time: 150 }))
@@ -58,8 +59,9 @@
 });
 
 describe("held lease", () => {
-  // The append took long. The log stamped it late, but the holder counts from
-  // before it sent, so it stops before the log could give the lease to another.
+  // The append was slow, and the log stamped it late. The holder counts from
+  // before it sent the record, so it stops before the log could grant the lease
+  // to another.
   it("ends before the log could grant it to another, counted from sending", async () => {
     const clock = createFakeClock(0);
     const held = createHeldLease({
