--- a/packages/coordination/src/address_choice.ts
+++ b/packages/coordination/src/address_choice.ts
@@ -85,7 +85,7 @@
 }
 
 /** Options of {@linkcode drawEntries}. */
-export interface EntryDrawOptions {
+export interface EntrySampleOptions {
   limit: number;
   random: () => number;
   /**
@@ -106,7 +106,7 @@
  */
 export function drawEntries(
   views: readonly Pick<PeerView, "record" | "health">[],
-  { limit, random, isLearning }: EntryDrawOptions,
+  { limit, random, isLearning }: EntrySampleOptions,
 ): PeerRecord[] {
   const usable = views.filter(({ record, health }) =>
     record.state === "live" &&
--- a/packages/coordination/src/endpoint_health.ts
+++ b/packages/coordination/src/endpoint_health.ts
@@ -21,7 +21,7 @@
   eject(cause: EjectionCause): void;
 }
 
-const SLOWNESS_WEIGHT = 0.1;
+const SLOWDOWN_WEIGHT = 0.1;
 const FAILURES_TO_EJECT = 3;
 const FIRST_EJECTION: Millis = 1_000;
 const MAX_EJECTION: Millis = 15_000;
@@ -30,7 +30,7 @@
 
 /** Creates the health of an endpoint without history. */
 export function createEndpointHealth(clock: Clock): EndpointHealth {
-  let slowness = 1;
+  let slowdown = 1;
   let failures = 0;
   let successes = 0;
   let ejections = 0;
@@ -49,12 +49,12 @@
     successes = 0;
     // After an ejection, a single failure is enough for the next one.
     failures = FAILURES_TO_EJECT - 1;
-    slowness = 1;
+    slowdown = 1;
     cause = why;
   }
 
   function recordSuccess(ratio: number): void {
-    slowness += SLOWNESS_WEIGHT * (ratio - slowness);
+    slowdown += SLOWDOWN_WEIGHT * (ratio - slowdown);
     failures = 0;
     if (++successes < SUCCESSES_TO_RECOVER) return;
     ejections = 0;
@@ -74,7 +74,7 @@
       return isEjected() ? cause : undefined;
     },
     get slowness() {
-      return slowness;
+      return slowdown;
     },
     isEjected,
     recordSuccess,
@@ -84,7 +84,7 @@
 }
 
 /**
- * An endpoint is slow if its slowness is at least this multiple of the median
+ * An endpoint is slow if its slowdown is at least this multiple of the median
  * of its pool.
  */
 const SLOW_FACTOR = 3;
--- a/packages/coordination/src/endpoint_limits_test.ts
+++ b/packages/coordination/src/endpoint_limits_test.ts
@@ -13,7 +13,7 @@
   expected: number | undefined;
 }
 
-function createNews(rateLimit: number | null, age: Millis) {
+function createUpdate(rateLimit: number | null, age: Millis) {
   return { endpointKey: KEY, rateLimit, age };
 }
 
@@ -63,13 +63,13 @@
     },
     {
       name: "another entry's report",
-      report: (limits) => limits.takeNews(createNews(2, 100)),
+      report: (limits) => limits.takeNews(createUpdate(2, 100)),
       expected: 2,
     },
     {
       name: "another entry's report of a minute ago",
       async report(limits, clock) {
-        limits.takeNews(createNews(2, 100));
+        limits.takeNews(createUpdate(2, 100));
         await clock.advance(60_000);
       },
       expected: undefined,
@@ -79,7 +79,7 @@
       async report(limits, clock) {
         limits.note(KEY, 2, 0);
         await clock.advance(1_000);
-        limits.takeNews(createNews(null, 100));
+        limits.takeNews(createUpdate(null, 100));
       },
       expected: undefined,
     },
@@ -88,7 +88,7 @@
       async report(limits, clock) {
         await clock.advance(1_000);
         limits.note(KEY, 2, 0);
-        limits.takeNews(createNews(null, 500));
+        limits.takeNews(createUpdate(null, 500));
       },
       expected: 2,
     },
@@ -97,7 +97,7 @@
       async report(limits, clock) {
         limits.note(KEY, 2, 0);
         await clock.advance(1_000);
-        limits.takeNews(createNews(3, 100));
+        limits.takeNews(createUpdate(3, 100));
         await clock.advance(60_000);
       },
       expected: 3,
@@ -117,9 +117,9 @@
     const limits = createEndpointLimits({ clock, random: () => 0 });
     limits.note(KEY, 2, 0);
     await clock.advance(300);
-    expect(limits.chooseNews(4)).to.deep.equal([createNews(2, 300)]);
+    expect(limits.chooseNews(4)).to.deep.equal([createUpdate(2, 300)]);
     limits.note(KEY, undefined, 200);
-    expect(limits.chooseNews(4)).to.deep.equal([createNews(null, 100)]);
+    expect(limits.chooseNews(4)).to.deep.equal([createUpdate(null, 100)]);
     await clock.advance(60_000);
     expect(limits.chooseNews(4)).to.deep.equal([]);
   });
--- a/packages/coordination/src/endpoint_roster.ts
+++ b/packages/coordination/src/endpoint_roster.ts
@@ -43,7 +43,7 @@
   list(): EndpointInfo[];
 }
 
-/** Creates an empty roster. */
+/** Creates an empty registry. */
 export function createEndpointRoster(
   { clock, returnGrace, onChange }: EndpointRosterOptions,
 ): EndpointRoster {
--- a/packages/coordination/src/endpoint_roster_test.ts
+++ b/packages/coordination/src/endpoint_roster_test.ts
@@ -7,33 +7,33 @@
   return { id, incarnation: "1", pool: "p", place: "a", address: id, state };
 }
 
-describe("endpoint roster", () => {
+describe("endpoint registry", () => {
   function create() {
     const clock = createFakeClock(0);
     const changes: string[][] = [];
-    const roster = createEndpointRoster({
+    const registry = createEndpointRoster({
       clock,
       returnGrace: 1_800,
       onChange: (endpoints: readonly EndpointInfo[]) =>
         changes.push(endpoints.map(({ id, state }) => `${id}:${state}`)),
     });
-    roster.replaceAll([createEndpoint("e1"), createEndpoint("e2")]);
-    const listIds = () => roster.list().map(({ id }) => id);
-    return { clock, roster, changes, listIds };
+    registry.replaceAll([createEndpoint("e1"), createEndpoint("e2")]);
+    const listIds = () => registry.list().map(({ id }) => id);
+    return { clock, registry, changes, listIds };
   }
 
   it("notifies changes, and nothing for a heartbeat", () => {
-    const { roster, changes } = create();
+    const { registry, changes } = create();
     const before = changes.length;
-    roster.put(createEndpoint("e1"));
+    registry.put(createEndpoint("e1"));
     expect(changes.length).to.equal(before);
-    roster.put(createEndpoint("e1", "leaving"));
+    registry.put(createEndpoint("e1", "leaving"));
     expect(changes.at(-1)).to.deep.equal(["e1:leaving", "e2:live"]);
   });
 
   it("drops an endpoint at once if there was no outage", () => {
-    const { roster, listIds } = create();
-    roster.remove("e1");
+    const { registry, listIds } = create();
+    registry.remove("e1");
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
@@ -41,9 +41,9 @@
   // endpoint belongs to its incarnation, so the change must be notified
   // although nothing else changed.
   it("notifies the restart of an endpoint under its id", () => {
-    const { roster, changes } = create();
+    const { registry, changes } = create();
     const before = changes.length;
-    roster.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
+    registry.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
     expect(changes.length).to.equal(before + 1);
   });
 
@@ -51,15 +51,15 @@
   // arrives after it. Applied, it would direct work to the address of the
   // incarnation that is gone, and mark the new one as leaving.
   it("does not apply an older reading to the newer incarnation", () => {
-    const { roster } = create();
+    const { registry } = create();
     const newer = { ...createEndpoint("e1"), incarnation: "2", startedAt: 2 };
-    roster.put(newer);
-    roster.put({
+    registry.put(newer);
+    registry.put({
       ...createEndpoint("e1", "leaving"),
       startedAt: 1,
       address: "old",
     });
-    expect(roster.list()[0]).to.deep.equal(newer);
+    expect(registry.list()[0]).to.deep.equal(newer);
   });
 
   // A removal is deferred after an outage, and a reading of the previous
@@ -67,12 +67,12 @@
   // If it cancelled the removal, work would go to a dead address until the
   // endpoint was removed again.
   it("does not treat an older reading as a sign of life", async () => {
-    const { roster, clock, listIds } = create();
-    roster.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
-    roster.noteAway();
-    roster.noteBack();
-    roster.remove("e1");
-    roster.put({ ...createEndpoint("e1"), startedAt: 1 });
+    const { registry, clock, listIds } = create();
+    registry.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
+    registry.noteAway();
+    registry.noteBack();
+    registry.remove("e1");
+    registry.put({ ...createEndpoint("e1"), startedAt: 1 });
     await clock.advance(2_000);
     expect(listIds()).to.deep.equal(["e2"]);
   });
@@ -81,15 +81,15 @@
   // Removing them would refuse users until the endpoints have registered again,
   // which takes up to two seconds.
   it("keeps endpoints that expired in an outage until they had time to register", async () => {
-    const { roster, listIds, clock } = create();
-    roster.noteAway();
+    const { registry, listIds, clock } = create();
+    registry.noteAway();
     await clock.advance(5_000);
-    roster.noteBack();
-    roster.remove("e1");
-    roster.remove("e2");
+    registry.noteBack();
+    registry.remove("e1");
+    registry.remove("e2");
     expect(listIds()).to.deep.equal(["e1", "e2"]);
     await clock.advance(900);
-    roster.put(createEndpoint("e1"));
+    registry.put(createEndpoint("e1"));
     await clock.advance(1_000);
     expect(listIds()).to.deep.equal(["e1"]);
   });
@@ -97,19 +97,19 @@
   // The same outage, but the endpoint had reported that it is leaving: new work
   // sent to it would be cut off.
   it("does not keep an endpoint that was leaving", () => {
-    const { roster, listIds } = create();
-    roster.put(createEndpoint("e1", "leaving"));
-    roster.noteAway();
-    roster.noteBack();
-    roster.remove("e1");
+    const { registry, listIds } = create();
+    registry.put(createEndpoint("e1", "leaving"));
+    registry.noteAway();
+    registry.noteBack();
+    registry.remove("e1");
     expect(listIds()).to.deep.equal(["e2"]);
   });
 
   // After its history was truncated the list is read anew, and lacks the
   // endpoints that left in the meantime.
   it("applies a full reading at once if there was no outage", () => {
-    const { roster, listIds } = create();
-    roster.replaceAll([createEndpoint("e2"), createEndpoint("e3")]);
+    const { registry, listIds } = create();
+    registry.replaceAll([createEndpoint("e2"), createEndpoint("e3")]);
     expect(listIds()).to.deep.equal(["e2", "e3"]);
   });
 
@@ -122,42 +122,42 @@
     // An endpoint has left, and the copy still contains it. It finishes its
     // work within some seconds; new work would be cut off when it ends.
     it("waits for the registration of an endpoint that it had dropped", () => {
-      const { roster, listIds } = create();
-      roster.remove("e1");
-      roster.noteRestored();
-      roster.replaceAll([createEndpoint("e1"), createEndpoint("e2")]);
+      const { registry, listIds } = create();
+      registry.remove("e1");
+      registry.noteRestored();
+      registry.replaceAll([createEndpoint("e1"), createEndpoint("e2")]);
       expect(listIds()).to.deep.equal(["e2"]);
-      roster.put(createEndpoint("e1"));
+      registry.put(createEndpoint("e1"));
       expect(listIds()).to.have.members(["e1", "e2"]);
     });
 
     // An endpoint that started in the seconds missing from the copy registers
     // again soon.
     it("keeps an endpoint that the copy lacks for a while", async () => {
-      const { clock, roster, listIds } = create();
-      roster.noteRestored();
-      roster.replaceAll([createEndpoint("e1")]);
+      const { clock, registry, listIds } = create();
+      registry.noteRestored();
+      registry.replaceAll([createEndpoint("e1")]);
       expect(listIds()).to.have.members(["e1", "e2"]);
       await clock.advance(1_900);
       expect(listIds()).to.deep.equal(["e1"]);
     });
 
     it("does not make a leaving endpoint live again", () => {
-      const { roster } = create();
-      roster.put(started("e3", "leaving"));
-      roster.noteRestored();
-      roster.replaceAll(["e1", "e2", "e3"].map((id) => started(id)));
-      const states = roster.list().map(({ id, state }) => `${id} ${state}`);
+      const { registry } = create();
+      registry.put(started("e3", "leaving"));
+      registry.noteRestored();
+      registry.replaceAll(["e1", "e2", "e3"].map((id) => started(id)));
+      const states = registry.list().map(({ id, state }) => `${id} ${state}`);
       expect(states).to.include("e3 leaving");
-      roster.put({ ...started("e3"), startedAt: 2, incarnation: "2" });
-      expect(roster.list().map(({ state }) => state)).to.not.include("leaving");
+      registry.put({ ...started("e3"), startedAt: 2, incarnation: "2" });
+      expect(registry.list().map(({ state }) => state)).to.not.include("leaving");
     });
 
     it("applies the whole copy if no endpoint was known", () => {
-      const { roster, listIds } = create();
-      ["e1", "e2"].forEach((id) => roster.remove(id));
-      roster.noteRestored();
-      roster.replaceAll([createEndpoint("e1")]);
+      const { registry, listIds } = create();
+      ["e1", "e2"].forEach((id) => registry.remove(id));
+      registry.noteRestored();
+      registry.replaceAll([createEndpoint("e1")]);
       expect(listIds()).to.deep.equal(["e1"]);
     });
   });
--- a/packages/coordination/src/engine_choice_replay_test.ts
+++ b/packages/coordination/src/engine_choice_replay_test.ts
@@ -82,7 +82,7 @@
   },
 ): Promise<number> {
   const clock = createFakeClock(0);
-  const choice = createEngineChoice(clock);
+  const selector = createEngineChoice(clock);
   const freeAt = new Array<number>(ENGINES).fill(0);
   const spec = { slots: 48, tokenCapacity: 48 * slotShare };
   const engines: EngineView[] = freeAt.map((_, index) => ({
@@ -102,7 +102,7 @@
   for (const { at, load, session, tokens } of generateArrivals(seed, burst)) {
     await clock.advance(at - clock.now());
     const parts = [{ id: session, tokens: 500 }, { id: "own", tokens }];
-    const [home] = choice.list(parts, engines, spec);
+    const [home] = selector.list(parts, engines, spec);
     const index = engines.findIndex(({ info }) => info === home?.info);
     const processingTime = tokens / TOKENS_PER_MS +
       MS_PER_SQUARED_TOKEN * tokens ** 2;
--- a/packages/coordination/src/engine_choice_test.ts
+++ b/packages/coordination/src/engine_choice_test.ts
@@ -104,23 +104,23 @@
 
     function createPool() {
       const clock = createFakeClock();
-      const choice = createEngineChoice(clock);
+      const selector = createEngineChoice(clock);
       const listHomes = (
         sessions: number,
         ids: readonly string[],
       ) =>
         new Set(
           Array.from({ length: sessions }, (_, index) =>
-            choice.list(
+            selector.list(
               createParts(`s${index}`),
               ids.map((id) => createEngine(id)),
               SPEC,
             )[0]?.info.id),
         );
       const listLarge = () =>
-        choice.list(LARGE, TEN.map((id) => createEngine(id)), SPEC)
+        selector.list(LARGE, TEN.map((id) => createEngine(id)), SPEC)
           .map(({ info }) => info.id);
-      return { clock, choice, listHomes, listLarge };
+      return { clock, selector, listHomes, listLarge };
     }
 
     // An engine processes a file of thirty thousand tokens for a second.
@@ -146,12 +146,12 @@
     // All engines for large prompts fail at once; the remaining ones serve
     // everything.
     it("use other engines when their own are not usable", () => {
-      const { choice, listLarge } = createPool();
+      const { selector, listLarge } = createPool();
       const group = listLarge().slice(0, 3);
       const engines = TEN.map((id) =>
         createEngine(id, { slowness: group.includes(id) ? 9 : 1 })
       );
-      const [first] = choice.list(LARGE, engines, SPEC);
+      const [first] = selector.list(LARGE, engines, SPEC);
       expect(group).not.to.include(first?.info.id);
     });
 
