--- a/packages/coordination/src/address_choice.ts
+++ b/packages/coordination/src/address_choice.ts
@@ -45,21 +45,21 @@
   keep: Millis;
 }
 
-const KEEP_STABLE: Millis = 10_000;
+const STABLE_TTL: Millis = 10_000;
 /** Answers are cached for a shorter time while entries join and leave. */
-const KEEP_CHANGING: Millis = 2_000;
+const CHANGING_TTL: Millis = 2_000;
 /**
  * Cache times are reduced by up to this share at random, so that callers do not
  * refresh at once.
  */
-const KEEP_JITTER = 0.25;
+const TTL_JITTER = 0.25;
 const OWN_PLACE_WEIGHT = 4;
 /**
  * A load report of this age counts half; older reports say little about the
  * present.
  */
 const LOAD_HALF_LIFE: Millis = 2_000;
-const LOAD_SOFTENING = 8;
+const LOAD_SMOOTHING = 8;
 
 /** Selects addresses for one caller. */
 export function chooseAddresses(
@@ -68,8 +68,8 @@
 ): AddressChoice {
   const usable = candidates.filter(isUsable);
   const isChanging = usable.length < candidates.length;
-  const keep = (isChanging ? KEEP_CHANGING : KEEP_STABLE) *
-    (1 - KEEP_JITTER * random());
+  const keep = (isChanging ? CHANGING_TTL : STABLE_TTL) *
+    (1 - TTL_JITTER * random());
   const meanLoad = computeMeanLoad(usable);
   const keyed = usable.map((candidate) => ({
     candidate,
@@ -135,5 +135,5 @@
   const confidence = Math.pow(0.5, age / LOAD_HALF_LIFE);
   const load = meanLoad + (inFlight - meanLoad) * confidence;
   const placeWeight = place === callerPlace ? OWN_PLACE_WEIGHT : 1;
-  return placeWeight * (meanLoad + LOAD_SOFTENING) / (load + LOAD_SOFTENING);
+  return placeWeight * (meanLoad + LOAD_SMOOTHING) / (load + LOAD_SMOOTHING);
 }
--- a/packages/coordination/src/claim_table.ts
+++ b/packages/coordination/src/claim_table.ts
@@ -48,9 +48,9 @@
 }
 
 /** Maximum time that callers' clocks may be ahead. */
-const MAX_AHEAD: Millis = 60_000;
-const SWEEP_EVERY = 1_024;
-const KEEP_FACTOR = 2;
+const MAX_CLOCK_LEAD: Millis = 60_000;
+const SWEEP_INTERVAL = 1_024;
+const RETENTION_FACTOR = 2;
 
 /** Creates an empty claim table. */
 export function createClaimTable(
@@ -62,18 +62,18 @@
 
   function isWithinWindow(issuedAt: Millis): boolean {
     const age = clock.now() - issuedAt;
-    return age <= window && age >= -MAX_AHEAD;
+    return age <= window && age >= -MAX_CLOCK_LEAD;
   }
 
   function dropExpired(): void {
-    const oldest = clock.now() - KEEP_FACTOR * window;
+    const oldest = clock.now() - RETENTION_FACTOR * window;
     for (const [key, claim] of holders) {
       if (claim.issuedAt < oldest) holders.delete(key);
     }
   }
 
   function apply(claim: Claim): void {
-    if (++applied % SWEEP_EVERY === 0) dropExpired();
+    if (++applied % SWEEP_INTERVAL === 0) dropExpired();
     const key = formatRequestKey(claim);
     const holder = holders.get(key);
     if (holder === undefined) holders.set(key, claim);
@@ -88,17 +88,17 @@
     return new Promise((resolve) => {
       function settle(outcome: ClaimOutcome): void {
         waiting.delete(claim.claimId);
-        signal.removeEventListener("abort", giveUp);
+        signal.removeEventListener("abort", abandon);
         resolve(outcome);
       }
-      function giveUp(): void {
+      function abandon(): void {
         settle({ kind: "unknown" });
       }
-      if (signal.aborted) return giveUp();
+      if (signal.aborted) return abandon();
       const holder = holders.get(formatRequestKey(claim));
       if (holder?.claimId === claim.claimId) return settle({ kind: "won" });
       waiting.set(claim.claimId, settle);
-      signal.addEventListener("abort", giveUp, { once: true });
+      signal.addEventListener("abort", abandon, { once: true });
     });
   }
 
--- a/packages/coordination/src/endpoint_directory.ts
+++ b/packages/coordination/src/endpoint_directory.ts
@@ -54,7 +54,7 @@
   /** Replaces the endpoints with those in the instance list. */
   replaceAll(endpoints: readonly EndpointInfo[]): void;
   /** Marks an endpoint as leaving; returns whether the mark is new. */
-  markLeaving(endpointKey: string, ground?: LeavingGround): boolean;
+  markLeaving(endpointKey: string, evidence?: LeavingGround): boolean;
   /** Lists the endpoints of `pool` that accept new work. */
   listUsable(pool: string): EndpointInfo[];
   /** Lists all endpoints in the instance list. */
--- a/packages/coordination/src/endpoint_limits.ts
+++ b/packages/coordination/src/endpoint_limits.ts
@@ -38,7 +38,7 @@
     sentAt: Millis,
   ): void;
   /** Applies an update from another entry. */
-  takeNews(news: LimitNews): void;
+  takeNews(update: LimitNews): void;
   /** Samples recent reports, at most `count`. */
   chooseNews(count: number): LimitNews[];
   /** Whether no limit is known. */
--- a/packages/coordination/src/endpoint_roster.ts
+++ b/packages/coordination/src/endpoint_roster.ts
@@ -50,8 +50,8 @@
   const endpoints = new Map<string, EndpointInfo>();
   /** Deferred removals: functions that cancel their timers, by endpoint id. */
   const deferred = new Map<string, () => void>();
-  let isAway = false;
-  let backAt = -Infinity;
+  let isUnavailable = false;
+  let recoveredAt = -Infinity;
   let isRestored = false;
 
   function notifyChange(): void {
@@ -77,10 +77,11 @@
   function remove(id: string): void {
     const known = endpoints.get(id);
     if (known === undefined || deferred.has(id)) return;
-    const graceLeft = backAt + returnGrace - clock.now();
-    const isUnverified = known.state === "live" && (isAway || graceLeft > 0);
+    const graceLeft = recoveredAt + returnGrace - clock.now();
+    const isUnverified = known.state === "live" &&
+      (isUnavailable || graceLeft > 0);
     if (!isUnverified) return drop(id);
-    const wait = isAway ? returnGrace : graceLeft;
+    const wait = isUnavailable ? returnGrace : graceLeft;
     deferred.set(id, clock.startTimer(wait, () => drop(id)));
   }
 
@@ -104,14 +105,14 @@
     remove,
     replaceAll,
     noteAway() {
-      isAway = true;
+      isUnavailable = true;
     },
     noteBack() {
-      if (isAway) backAt = clock.now();
-      isAway = false;
+      if (isUnavailable) recoveredAt = clock.now();
+      isUnavailable = false;
     },
     noteRestored() {
-      backAt = clock.now();
+      recoveredAt = clock.now();
       isRestored = true;
     },
     list: () => [...endpoints.values()],
--- a/packages/coordination/src/endpoint_roster_test.ts
+++ b/packages/coordination/src/endpoint_roster_test.ts
@@ -150,7 +150,9 @@
       const states = registry.list().map(({ id, state }) => `${id} ${state}`);
       expect(states).to.include("e3 leaving");
       registry.put({ ...started("e3"), startedAt: 2, incarnation: "2" });
-      expect(registry.list().map(({ state }) => state)).to.not.include("leaving");
+      expect(registry.list().map(({ state }) => state)).to.not.include(
+        "leaving",
+      );
     });
 
     it("applies the whole copy if no endpoint was known", () => {
--- a/packages/coordination/src/engine_choice.ts
+++ b/packages/coordination/src/engine_choice.ts
@@ -63,7 +63,7 @@
  * take hardly longer than with one request, and processing the prompt again
  * elsewhere costs more.
  */
-const FREE_SHARE = 0.25;
+const LIGHT_LOAD_SHARE = 0.25;
 const SLOW_FACTOR = 2.5;
 /**
  * A prompt of more tokens than this multiple of a slot's share of an engine's
@@ -81,7 +81,7 @@
 /**
  * Without a very large prompt for this long, all engines serve all requests.
  */
-const LARGE_MEMORY: Millis = 60_000;
+const LARGE_GROUP_TTL: Millis = 60_000;
 const LARGE_KEY = "very large prompts";
 
 /** Creates a selector for a pool that has seen no request. */
@@ -92,7 +92,7 @@
     list(parts, engines, spec) {
       const isLarge = isVeryLarge(parts, spec);
       if (isLarge) lastLargeAt = clock.now();
-      const hasLarge = clock.now() - lastLargeAt <= LARGE_MEMORY;
+      const hasLarge = clock.now() - lastLargeAt <= LARGE_GROUP_TTL;
       const ranked = listForSession(parts, engines);
       const group = hasLarge ? listLargeGroup(engines) : new Set();
       const isInOwnGroup = (engine: EngineView) =>
@@ -142,7 +142,10 @@
 ): (engine: EngineView) => boolean {
   const mean = engines.reduce((sum, { load }) => sum + load, 0) /
     Math.max(1, engines.length);
-  const bound = Math.max(LOAD_BOUND * mean + LOAD_SLACK, FREE_SHARE * slots);
+  const bound = Math.max(
+    LOAD_BOUND * mean + LOAD_SLACK,
+    LIGHT_LOAD_SHARE * slots,
+  );
   const fastest = Math.min(...engines.map(({ slowness }) => slowness));
   return ({ load, slowness }) =>
     load <= bound && slowness <= SLOW_FACTOR * fastest;
--- a/packages/coordination/src/latency_model.ts
+++ b/packages/coordination/src/latency_model.ts
@@ -37,13 +37,13 @@
 const SLOW_RISE = 0.19;
 const SLOW_FALL = 0.01;
 const MAX_RATIO = 20;
-const START_SLOW_RATIO = 2;
+const INITIAL_SLOW_RATIO = 2;
 
 /** Creates a model without measurements. */
 export function createLatencyModel(): LatencyModel {
   const unloaded: number[] = new Array(BUCKETS).fill(0);
   let typicalRatio = 1;
-  let slowRatio = START_SLOW_RATIO;
+  let slowRatio = INITIAL_SLOW_RATIO;
 
   function estimateUnloaded(size: number): Millis {
     const bucket = computeBucket(size);
