--- a/packages/coordination/src/cold_allowance.ts
+++ b/packages/coordination/src/cold_allowance.ts
@@ -3,11 +3,11 @@
  * just started and is not warmed up.
  *
  * Cold endpoints appear when endpoints start, or when a whole place recovers
- * during a burst. A cold endpoint can take a few requests per second and ends
- * far above that rate, whichever of hundreds of entries they come from. The sum
- * over all entries must stay within that rate without coordination: for each
- * endpoint, the first few entries in its rendezvous order share the rate, and
- * the others send nothing to it while it is cold.
+ * during a burst. A cold endpoint can take a few requests per second and
+ * crashes far above that rate, whichever of hundreds of entries they come from.
+ * The sum over all entries must stay within that rate without coordination: for
+ * each endpoint, the first few entries in its rendezvous order share the rate,
+ * and the others send nothing to it while it is cold.
  *
  * An entry that receives no endpoint updates does not know which endpoints have
  * become cold. It sends to each at most what a cold endpoint can take on top of
--- a/packages/coordination/src/cold_allowance_replay_test.ts
+++ b/packages/coordination/src/cold_allowance_replay_test.ts
@@ -9,7 +9,7 @@
 
 /**
  * What a cold endpoint can take here, and the requests within a second at which
- * it ends.
+ * it crashes.
  */
 const RATE = 7.4;
 const LIMIT = 1.5 * RATE + 5;
--- a/packages/coordination/src/endpoint_limits.ts
+++ b/packages/coordination/src/endpoint_limits.ts
@@ -60,8 +60,8 @@
   rateLimit: number | null;
   reportedAt: Millis;
   /**
-   * Whether the endpoint has reported a limit to this entry, which binds it until
-   * the endpoint withdraws the limit.
+   * Whether the endpoint has reported a limit to this entry, which binds the
+   * entry until the endpoint withdraws the limit.
    */
   isBinding: boolean;
 }
--- a/packages/coordination/src/engine_choice.ts
+++ b/packages/coordination/src/engine_choice.ts
@@ -67,8 +67,8 @@
 const SLOW_FACTOR = 2.5;
 /**
  * A prompt of more tokens than this multiple of a slot's share of an engine's
- * memory is very large. The line is computed from the published configuration,
- * so that all entries draw the same one.
+ * memory is very large. The threshold is computed from the published
+ * configuration, so that all entries use the same one.
  */
 const LARGE_FACTOR = 2;
 /**
