--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -17,7 +17,7 @@
   /** The resource that the lease is for, such as `engine/e1`. */
   resource: string;
   holder: string;
-  /** Unique to one attempt to acquire. */
+  /** Unique to one attempt. */
   attemptId: string;
   duration: Millis;
   /** The fencing number of the lease that is renewed or released. */
