--- a/packages/coordination/src/claim_table.ts
+++ b/packages/coordination/src/claim_table.ts
@@ -1,6 +1,6 @@
 /**
- * Claims in the log: for dated ids the first claim in log order may run the
- * request, decided the same by every reader.
+ * Claims in the log. Among the claims for an id that carries its time, the
+ * first one in log order may run the request; every reader decides the same.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import type { RequestKey } from "./request_id.ts";
 import { formatRequestKey } from "./request_id.ts";
 
-/** One claim as it stands in the log. */
+/** A claim as stored in the log. */
 export interface Claim extends RequestKey {
   /** Unique to one attempt to claim. */
   claimId: string;
   /** The entry incarnation that claims. */
   incarnation: string;
-  /** The time inside the id; decides how long the claim is kept. */
+  /** The time in the id; determines how long the claim is kept. */
   issuedAt: Millis;
 }
 
-/** What became of one attempt to claim. */
+/** The result of one attempt to claim. */
 export type ClaimOutcome =
   | { kind: "won" }
   | { kind: "lost"; holder: string }
@@ -27,27 +27,30 @@
 /** Options of {@linkcode createClaimTable}. */
 export interface ClaimTableOptions {
   clock: Clock;
-  /** How old an id may be; claims are kept for twice as long. */
+  /** Maximum age of an id; claims are kept for twice as long. */
   window: Millis;
 }
 
 /** The claims read from the log so far. */
 export interface ClaimTable {
   readonly size: number;
-  /** Takes in a claim in log order. */
+  /** Applies a claim, in log order. */
   apply(claim: Claim): void;
-  /** The holder's claim, if one was read. */
+  /** Returns the claim that won, if one was read. */
   find(key: RequestKey): Claim | undefined;
-  /** Resolves once the claim was read, or `unknown` when `signal` aborts. */
+  /**
+   * Resolves once the claim has been read, or to `unknown` when `signal`
+   * aborts.
+   */
   waitFor(claim: Claim, signal: AbortSignal): Promise<ClaimOutcome>;
-  /** Whether the id is of an age at which claims can prove anything. */
+  /** Whether claims are conclusive for an id of this age. */
   isWithinWindow(issuedAt: Millis): boolean;
 }
 
-/** Callers' clocks may be ahead of ours by this much. */
-const MAX_AHEAD: Millis = 60_000;
-const SWEEP_EVERY = 1_024;
-const KEEP_FACTOR = 2;
+/** Maximum time that callers' clocks may be ahead. */
+const MAX_CLOCK_LEAD: Millis = 60_000;
+const SWEEP_INTERVAL = 1_024;
+const RETENTION_FACTOR = 2;
 
 /** Creates an empty claim table. */
 export function createClaimTable(
@@ -59,18 +62,18 @@
 
   function isWithinWindow(issuedAt: Millis): boolean {
     const age = clock.now() - issuedAt;
-    return age <= window && age >= -MAX_AHEAD;
+    return age <= window && age >= -MAX_CLOCK_LEAD;
   }
 
   function dropExpired(): void {
-    const oldest = clock.now() - KEEP_FACTOR * window;
+    const oldest = clock.now() - RETENTION_FACTOR * window;
     for (const [key, claim] of holders) {
       if (claim.issuedAt < oldest) holders.delete(key);
     }
   }
 
   function apply(claim: Claim): void {
-    if (++applied % SWEEP_EVERY === 0) dropExpired();
+    if (++applied % SWEEP_INTERVAL === 0) dropExpired();
     const key = formatRequestKey(claim);
     const holder = holders.get(key);
     if (holder === undefined) holders.set(key, claim);
@@ -85,17 +88,17 @@
     return new Promise((resolve) => {
       function settle(outcome: ClaimOutcome): void {
         waiting.delete(claim.claimId);
-        signal.removeEventListener("abort", giveUp);
+        signal.removeEventListener("abort", abandon);
         resolve(outcome);
       }
-      function giveUp(): void {
+      function abandon(): void {
         settle({ kind: "unknown" });
       }
-      if (signal.aborted) return giveUp();
+      if (signal.aborted) return abandon();
       const holder = holders.get(formatRequestKey(claim));
       if (holder?.claimId === claim.claimId) return settle({ kind: "won" });
       waiting.set(claim.claimId, settle);
-      signal.addEventListener("abort", giveUp, { once: true });
+      signal.addEventListener("abort", abandon, { once: true });
     });
   }
 
