--- a/packages/serving/src/stage_admission.ts
+++ b/packages/serving/src/stage_admission.ts
@@ -1,13 +1,13 @@
 /**
- * Decides, before any of its stages has cost anything, whether a request can
- * still be served.
+ * Admission control: decides, before any stage has run, whether a request can
+ * complete before its deadline.
  *
- * The load it answers: a burst of one kind fills the queue of a stage pool for
- * seconds. Who can meet the objective goes first and is always let in; who
- * cannot is let in only if what waits now leaves time before the deadline.
- * Without this a request would run its first stages, wait, and be refused when
- * its time was gone: the room and calls of its stages were wasted, and its
- * caller could not come back any more.
+ * A burst of one kind of request can fill the queue of a stage pool for several
+ * seconds. Requests that can meet the latency objective have precedence and are
+ * always admitted; others are admitted only if the current queue lets them
+ * complete before the deadline. Without this check a request would run its
+ * first stages, queue, and be refused at its deadline: that wastes calls and
+ * result storage, and leaves the caller no time to retry.
  *
  * @module
  */
@@ -21,21 +21,24 @@
 
 const NO_WAITS: PieceWaits = { onTime: 0, late: 0, growth: 0 };
 
-/** What is known of a request's stages and its time. */
+/** Options of {@linkcode findHopeless}. */
 export interface StageForecastOptions {
   stages: readonly RouteStage[];
-  /** Expected time of each stage without waiting; 0 for one without pieces. */
+  /** Expected time of each stage without queueing; 0 if it has no pieces. */
   durations: readonly Millis[];
-  /** What a new piece of the request would wait in a pool. */
+  /** Returns the estimated queueing delay of a new piece in a pool. */
   readWaits: (pool: string) => Promise<PieceWaits>;
-  /** Time left to be on time, after what the engine needs. */
+  /** Time for the stages to meet the latency objective, less engine time. */
   onTime: Millis;
-  /** Time left at all, after what the engine needs. */
+  /** Time for the stages until the deadline, less engine time. */
   remaining: Millis;
   random: () => number;
 }
 
-/** The refusal of a request that cannot be served, or undefined. */
+/**
+ * Returns the refusal of a request that cannot complete before its deadline, or
+ * undefined if it is admitted.
+ */
 export async function findHopeless(
   { stages, durations, readWaits, onTime, remaining, random }:
     StageForecastOptions,
@@ -52,16 +55,16 @@
     );
   const excess = computeTime("onTime") - onTime;
   if (excess <= 0) return undefined;
-  const lateExcess = computeTime("late") - remaining;
-  if (lateExcess <= 0) return undefined;
+  const deadlineExcess = computeTime("late") - remaining;
+  if (deadlineExcess <= 0) return undefined;
   return createFailure("overloaded", {
     verdict: "not_run",
     message: `its stages would take ${Math.round(excess)} ms too long`,
-    retryAfterMs: spreadRetryAfter(Math.max(excess, lateExcess), random),
+    retryAfterMs: spreadRetryAfter(Math.max(excess, deadlineExcess), random),
   });
 }
 
-/** The time of each stage with its wait when the request will be there. */
+/** Adds to each stage its queueing delay at the time the request reaches it. */
 function addWaits(
   stages: readonly RouteStage[],
   { durations, waits, kind }: {
@@ -72,13 +75,16 @@
 ): Millis[] {
   const ends: Millis[] = [];
   return stages.map(({ after }, number) => {
-    const startsIn = Math.max(0, ...after.map((earlier) => ends[earlier] ?? 0));
+    const startDelay = Math.max(
+      0,
+      ...after.map((dependency) => ends[dependency] ?? 0),
+    );
     const wait = waits[number] ?? NO_WAITS;
-    const atStart = kind === "late"
+    const waitAtStart = kind === "late"
       ? wait.late
-      : Math.max(0, wait.onTime + startsIn * wait.growth);
-    const time = (durations[number] ?? 0) + atStart;
-    ends[number] = startsIn + time;
+      : Math.max(0, wait.onTime + startDelay * wait.growth);
+    const time = (durations[number] ?? 0) + waitAtStart;
+    ends[number] = startDelay + time;
     return time;
   });
 }
--- a/packages/serving/src/stage_graph.ts
+++ b/packages/serving/src/stage_graph.ts
@@ -1,6 +1,7 @@
 /**
- * Runs the stages of one request as a graph: each starts as soon as the stages
- * it needs are done, and gets the results of all their pieces.
+ * Runs the stages of one request as a dependency graph. Each stage starts as
+ * soon as its dependencies are complete, and receives the results of all their
+ * pieces.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 import type { PieceRouter } from "./piece_router.ts";
 import type { RequestHead } from "./serving_handles.ts";
 
-/** What the stages of a request need. */
+/** Options of {@linkcode runStages}. */
 export interface StageGraphOptions {
   clock: Clock;
   random: () => number;
@@ -25,34 +26,34 @@
   router: PieceRouter;
   route: Route;
   head: RequestHead;
-  /** The order at stages, 0 first. */
+  /** Priority of the pieces; 0 is the highest. */
   rank: number;
-  /** When the results have to be there for the latency objective. */
+  /** Time by which the results are needed to meet the latency objective. */
   onTimeAt: Millis;
-  /** When the results have to be there at all. */
+  /** Deadline for the results. */
   dueAt: Millis;
-  /** Expected time of each stage without waiting; 0 for one without pieces. */
+  /** Expected time of each stage without queueing; 0 if it has no pieces. */
   durations: readonly Millis[];
-  /** How long a pool's endpoints keep results. */
+  /** Returns how long the endpoints of a pool store results. */
   readLifetime: (pool: string) => Millis;
-  /** The place of the endpoint that holds a result, if it is known. */
+  /** Returns the place of the endpoint that stores a result, if it is known. */
   readPlace: (result: string) => string | undefined;
-  /** Where the last results will be fetched to. */
+  /** Place from which the results of the last stages will be fetched. */
   place: string | undefined;
-  /** Told of endpoints that ended during calls with pieces of the request. */
+  /** Called with the endpoints that terminated during calls for the request. */
   noteEnds: (ends: readonly EndpointEnd[]) => void;
   signal: AbortSignal;
 }
 
-/** The results of a request's stages. */
+/** Results of the stages of one request. */
 export interface StageResults {
-  /** Results of the stages that no other stage needs, in order. */
+  /** Results of the stages that no other stage depends on, in stage order. */
   readonly inputs: readonly string[];
-  /** Frees all results; harmless when called again. */
+  /** Releases all results. Idempotent. */
   release(): void;
 }
 
-/** Runs all stages; after a failure nothing is left at any maker. */
+/** Runs all stages. Releases the results of all stages if one fails. */
 export async function runStages(
   options: StageGraphOptions,
 ): Promise<Result<StageResults, Failure>> {
@@ -63,10 +64,11 @@
   const abort = () => controller.abort();
   options.signal.addEventListener("abort", abort, { once: true });
   if (options.signal.aborted) abort();
-  const made = new Map<number, readonly string[]>();
-  const finished = new Set<number>();
-  /** When the results of a stage lapse at their makers. */
-  const lapses = new Map<number, Millis>();
+  /** Results of each stage that are not released yet. */
+  const outputs = new Map<number, readonly string[]>();
+  const completed = new Set<number>();
+  /** Time at which the results of a stage expire at their endpoints. */
+  const expiries = new Map<number, Millis>();
   const running = new Map<number, Promise<Result<string[], Failure>>>();
 
   function startStage(number: number): Promise<Result<string[], Failure>> {
@@ -80,13 +82,15 @@
   async function runStage(number: number): Promise<Result<string[], Failure>> {
     const stage = stages[number];
     if (stage === undefined) {
-      return Result.err(failStage(number, "the route has no such stage"));
+      return Result.err(
+        createStageFailure(number, "the route has no such stage"),
+      );
     }
-    const waitsFor = plan[number]?.waitsFor ?? stage.after;
-    const earlier = await Promise.all(waitsFor.map(startStage));
+    const dependencies = plan[number]?.waitsFor ?? stage.after;
+    const earlier = await Promise.all(dependencies.map(startStage));
     const failed = earlier.find((result) => result.isErr);
     if (failed?.isErr) return Result.err(failed.error);
-    const inputs = stage.after.flatMap((needed) => made.get(needed) ?? []);
+    const inputs = stage.after.flatMap((needed) => outputs.get(needed) ?? []);
     return await runPieces(number, stage, inputs);
   }
 
@@ -106,20 +110,22 @@
       };
     const startedAt = clock.now();
     const timeBehind = plan[number]?.timeBehind ?? 0;
-    const usableUntil = Math.min(
+    const deadline = Math.min(
       options.dueAt - timeBehind,
-      ...stage.after.map((needed) => lapses.get(needed) ?? Infinity),
+      ...stage.after.map((needed) => expiries.get(needed) ?? Infinity),
     );
     const reply = await router.run({
       pool: stage.pool,
       requestId: head.id,
       priority: options.rank,
       onTime: options.onTimeAt - timeBehind - startedAt,
-      remaining: usableUntil - startedAt,
+      remaining: deadline - startedAt,
       ...choosePlace(inputs),
       resultBytes: stage.resultBytes,
-      movedBytes: sumMoved(number, stage),
-      ownsInputs: stage.after.every((needed) => listUsers(needed).length === 1),
+      movedBytes: computeMovedBytes(number, stage),
+      ownsInputs: stage.after.every((needed) =>
+        listConsumers(needed).length === 1
+      ),
       pieces: Array.from({ length: count }, (_, piece) => ({
         stage: number,
         piece,
@@ -129,15 +135,15 @@
     if (reply.isErr) return Result.err(reply.error);
     const { outcomes, freedInputs, ends } = reply.value;
     if (ends !== undefined) options.noteEnds(ends);
-    // Freed once more, they would cost a message and a call to each maker.
-    if (freedInputs) stage.after.forEach((needed) => made.delete(needed));
+    // A second release would cost one message and one call per endpoint.
+    if (freedInputs) stage.after.forEach((needed) => outputs.delete(needed));
     const results = outcomes.flatMap((outcome) =>
       outcome.kind === "done" ? [outcome.result] : []
     );
-    made.set(number, results);
-    lapses.set(number, clock.now() + options.readLifetime(stage.pool));
-    finished.add(number);
-    releaseUsed();
+    outputs.set(number, results);
+    expiries.set(number, clock.now() + options.readLifetime(stage.pool));
+    completed.add(number);
+    releaseConsumed();
     const failed = findFailure(outcomes, count);
     log.record("stage_ended", {
       request: head.id,
@@ -149,19 +155,23 @@
     });
     if (failed === undefined) return Result.ok(results);
     return Result.err({
-      ...failStage(number, failed),
+      ...createStageFailure(number, failed),
       retryAfterMs: spreadRetryAfter(reply.value.waits.late, options.random),
     });
   }
 
   /**
-   * What one piece fetches, and its result if that goes to the engine. A result
-   * for another stage need not move: that stage follows it to its place.
+   * Returns the bytes that one piece moves between places: its inputs, and its
+   * result if the engine fetches it. The result of an intermediate stage is not
+   * counted, because the next stage runs in the place that stores it.
    */
-  function sumMoved(number: number, { after, resultBytes }: RouteStage) {
+  function computeMovedBytes(
+    number: number,
+    { after, resultBytes }: RouteStage,
+  ) {
     const fetched = after.reduce(
       (sum, needed) =>
-        sum + (made.get(needed)?.length ?? 0) *
+        sum + (outputs.get(needed)?.length ?? 0) *
           (stages[needed]?.resultBytes ?? 0),
       0,
     );
@@ -169,52 +179,58 @@
     return fetched + (isLast ? resultBytes : 0);
   }
 
-  /** Every piece fetches all inputs, which is more than its own result. */
+  /**
+   * Chooses the place that stores most of the inputs: every piece fetches all
+   * of them, which is more data than its own result.
+   */
   function choosePlace(inputs: readonly string[]): { place?: string } {
     const places = inputs.map(options.readPlace);
     const most = places.reduce<string | undefined>(
       (best, place) =>
-        countEqual(places, place) > countEqual(places, best) ? place : best,
+        countOccurrences(places, place) > countOccurrences(places, best)
+          ? place
+          : best,
       places[0],
     );
     const place = most ?? options.place;
     return place === undefined ? {} : { place };
   }
 
-  /** The stages that need the results of one. */
-  function listUsers(number: number): number[] {
-    return stages.flatMap(({ after }, user) =>
-      after.includes(number) ? [user] : []
+  /** Lists the stages that depend on a stage. */
+  function listConsumers(number: number): number[] {
+    return stages.flatMap(({ after }, consumer) =>
+      after.includes(number) ? [consumer] : []
     );
   }
 
   /**
-   * Frees the results that every stage which needs them has used. The room at
-   * makers is short: results kept until the request's end block their pool.
+   * Releases results that all dependent stages have consumed. Result storage at
+   * the endpoints is small: results stored until the end of the request would
+   * block their pool.
    */
-  function releaseUsed(): void {
-    for (const number of [...made.keys()]) {
-      const users = listUsers(number);
-      const isUsed = users.length > 0 &&
-        users.every((user) => finished.has(user));
-      if (isUsed) releaseStage(number);
+  function releaseConsumed(): void {
+    for (const number of [...outputs.keys()]) {
+      const consumers = listConsumers(number);
+      const isConsumed = consumers.length > 0 &&
+        consumers.every((consumer) => completed.has(consumer));
+      if (isConsumed) releaseStage(number);
     }
   }
 
   function releaseStage(number: number): void {
     const pool = stages[number]?.pool;
-    if (pool !== undefined) router.release(pool, made.get(number) ?? []);
-    made.delete(number);
+    if (pool !== undefined) router.release(pool, outputs.get(number) ?? []);
+    outputs.delete(number);
   }
 
   function release(): void {
-    [...made.keys()].forEach(releaseStage);
+    [...outputs.keys()].forEach(releaseStage);
   }
 
   const outcomes = await Promise.all(
     stages.map(async (_, number) => {
       const outcome = await startStage(number);
-      // The others cannot help any more; their pieces only cost.
+      // The request has failed, so the pieces of the other stages are useless.
       if (outcome.isErr) controller.abort();
       return outcome;
     }),
@@ -225,19 +241,19 @@
     release();
     return Result.err(failed.error);
   }
-  const last = listLastStages(stages);
-  const inputs = last.flatMap((number) => made.get(number) ?? []);
+  const last = listFinalStages(stages);
+  const inputs = last.flatMap((number) => outputs.get(number) ?? []);
   return Result.ok({ inputs, release });
 }
 
-/** The stages that no other stage needs. */
-function listLastStages(stages: readonly RouteStage[]): number[] {
+/** Lists the stages that no other stage depends on. */
+function listFinalStages(stages: readonly RouteStage[]): number[] {
   const needed = new Set(stages.flatMap(({ after }) => after));
   return stages.map((_, number) => number)
     .filter((number) => !needed.has(number));
 }
 
-function countEqual<T>(list: readonly T[], value: T): number {
+function countOccurrences<T>(list: readonly T[], value: T): number {
   return list.filter((other) => other === value).length;
 }
 
@@ -250,8 +266,8 @@
   return failed?.kind === "failed" ? failed.reason : undefined;
 }
 
-/** A stage alone is not the request: that has not run. */
-function failStage(number: number, message: string): Failure {
+/** The verdict is `not_run`: the request itself has not reached an engine. */
+function createStageFailure(number: number, message: string): Failure {
   return createFailure("unavailable", {
     verdict: "not_run",
     message: `stage ${number}: ${message}`,
--- a/packages/serving/src/stage_graph_test.ts
+++ b/packages/serving/src/stage_graph_test.ts
@@ -7,7 +7,7 @@
 import { runStages } from "./stage_graph.ts";
 import { createTestHead, createTestRoute } from "./test_support.ts";
 
-/** Stage 0 beside stage 1, which stages 2 and 3 follow in turn. */
+/** Stage 0 runs in parallel with the chain of stages 1, 2 and 3. */
 const STAGES = [
   { pool: "p0", after: [], resultBytes: 1 },
   { pool: "p1", after: [], resultBytes: 1 },
@@ -24,7 +24,7 @@
   ) {
     const runs: (PieceWork & { end: (reply: PieceRunReply) => void })[] = [];
     const released: string[] = [];
-    const noted: EndpointEnd[] = [];
+    const reportedEnds: EndpointEnd[] = [];
     const stage = (number: number) =>
       runs.find(({ pieces }) => pieces[0]?.stage === number);
     const finish = async (number: number, ends?: EndpointEnd[]) => {
@@ -61,13 +61,20 @@
       readLifetime: () => 4_000,
       readPlace: () => "there",
       place: "here",
-      noteEnds: (ends) => void noted.push(...ends),
+      noteEnds: (ends) => void reportedEnds.push(...ends),
       signal: new AbortController().signal,
     });
-    return { runs, released, noted, stage, finish, outcome };
+    return {
+      runs,
+      released,
+      reportedEnds,
+      stage,
+      finish,
+      outcome,
+    };
   }
 
-  it("gives each stage all results of the stages it needs", async () => {
+  it("passes to each stage all results of its dependencies", async () => {
     const { stage, finish, outcome } = create([1, 2, 1, 2]);
     await settlePromises();
     expect(stage(1)?.pieces[0]?.source)
@@ -91,17 +98,17 @@
       .to.deep.equal(["0.0", "3.0", "3.1"]);
   });
 
-  it("tells of endpoints that ended during its calls", async () => {
-    const { noted, finish } = create([1, 0, 0, 0]);
+  it("reports endpoints that terminated during its calls", async () => {
+    const { reportedEnds, finish } = create([1, 0, 0, 0]);
     await settlePromises();
     const end = { endpointKey: "m1#1", sentAgo: 300, endedAgo: 20 };
     await finish(0, [end]);
-    expect(noted).to.deep.equal([end]);
+    expect(reportedEnds).to.deep.equal([end]);
   });
 
-  // Makers have room for a few results only. Results kept until the end of the
-  // request block their pool, and all later requests wait.
-  it("frees results as soon as the stages that need them are done", async () => {
+  // Endpoints can store only a few results. Results stored until the end of the
+  // request would block their pool, and all later requests would queue.
+  it("releases results as soon as all dependent stages are complete", async () => {
     const { released, finish } = create([0, 2, 1, 1]);
     await settlePromises();
     await finish(1);
@@ -110,10 +117,10 @@
     expect(released).to.deep.equal(["1.0", "1.1"]);
   });
 
-  // The pieces of a middle stage waited for the place of an input of some bytes,
-  // as their own results, which the next stage fetches, count megabytes. But the
-  // next stage follows them wherever they are made.
-  it("counts a result as moved only where the engine fetches it", async () => {
+  // If results of intermediate stages counted as moved, a piece whose result has
+  // megabytes would wait for the place of an input of a few bytes. The next
+  // stage runs in the place that stores them, so they do not move.
+  it("counts a result as moved only if the engine fetches it", async () => {
     const { stage, finish } = create([1, 2, 1, 1]);
     await settlePromises();
     expect(stage(1)?.movedBytes).to.equal(0);
@@ -123,23 +130,23 @@
     expect(stage(3)?.movedBytes).to.equal(1 + 1);
   });
 
-  // A queue grows while a request has results in it. They lapse at their maker
-  // before the request's deadline; a call with lapsed inputs is wasted.
-  it("lets no stage wait longer than its inputs are kept", async () => {
+  // While the next stage is queued, results can expire at their endpoint before
+  // the request's deadline. A call with expired inputs is wasted.
+  it("limits the queueing time of a stage to the lifetime of its inputs", async () => {
     const { stage, finish } = create([0, 1, 1, 1], { dueAt: 60_000 });
     await settlePromises();
     await finish(1);
     expect(stage(2)?.remaining).to.equal(4_000);
   });
 
-  it("leaves out stages without pieces", async () => {
+  it("skips stages without pieces", async () => {
     const { runs, outcome } = create([0, 0, 0, 0]);
     const results = await outcome;
     expect(results.isOk && results.value.inputs).to.deep.equal([]);
     expect(runs).to.deep.equal([]);
   });
 
-  it("frees everything after a failure, which has not run", async () => {
+  it("releases all results after a failure, with the verdict not_run", async () => {
     const { released, finish, stage, outcome } = create([1, 1, 1, 1]);
     await settlePromises();
     await finish(1);
@@ -155,7 +162,7 @@
     expect(released).to.have.members(["0.0", "1.0", "2.0"]);
   });
 
-  it("does not take an answer in part for a whole one", async () => {
+  it("fails if the reply lacks the outcome of a piece", async () => {
     const { stage, outcome } = create([0, 2, 1, 1]);
     await settlePromises();
     stage(1)?.end({
@@ -166,9 +173,9 @@
     expect((await outcome).isErr).to.equal(true);
   });
 
-  // The feeder has freed them as soon as they were fetched. Freed again, each
-  // request would cost its makers as many calls once more.
-  it("frees nothing that the feeder has freed", async () => {
+  // The dispatcher releases inputs as soon as they are fetched. A second release
+  // would double the release calls to their endpoints.
+  it("does not release inputs that the dispatcher has released", async () => {
     const { finish, released, stage } = create([0, 1, 1, 1], {
       freedInputs: true,
     });
