--- a/packages/serving/src/piece_router.ts
+++ b/packages/serving/src/piece_router.ts
@@ -35,8 +35,8 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
-import { createPoolWaits } from "./pool_waits.ts";
-import type { StageFeeder } from "./stage_feeder.ts";
+import { createPoolWaits } from "./pool_wait_cache.ts";
+import type { StageFeeder } from "./stage_dispatcher.ts";
 
 /** Options of {@linkcode createPieceRouter}. */
 export interface PieceRouterOptions {
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -25,8 +25,8 @@
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { NoteSignals } from "./endpoint_signals.ts";
 import type { StageEndpoints } from "./serving_handles.ts";
-import type { StageFeeder } from "./stage_feeder.ts";
-import { createStageFeeder } from "./stage_feeder.ts";
+import type { StageFeeder } from "./stage_dispatcher.ts";
+import { createStageFeeder } from "./stage_dispatcher.ts";
 
 /** Options of {@linkcode createPoolParts}. */
 export interface PoolPartsOptions {
--- a/packages/serving/src/pool_waits_test.ts
+++ b/packages/serving/src/pool_wait_cache_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createPoolWaits } from "./pool_waits.ts";
+import { createPoolWaits } from "./pool_wait_cache.ts";
 
 const QUESTION = { pool: "pool", partition: "", priority: 1 };
 
--- a/packages/serving/src/maker_room_test.ts
+++ b/packages/serving/src/result_storage_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { createMakerRoom } from "./maker_room.ts";
+import { createMakerRoom } from "./result_storage.ts";
 
 describe("room at makers", () => {
   const held = (bytes: number, lapsesAt = 4_000) => ({
--- a/packages/serving/src/stage_feeder.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -27,16 +27,20 @@
 import type { EndpointCheck } from "./endpoint_check.ts";
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { NoteSignals } from "./endpoint_signals.ts";
-import type { FailReason, FeederGroup, FeederPiece } from "./feeder_piece.ts";
+import type {
+  FailReason,
+  FeederGroup,
+  FeederPiece,
+} from "./dispatched_piece.ts";
 import {
   createFeederGroup,
   createFeederPiece,
   listGroups,
-} from "./feeder_piece.ts";
+} from "./dispatched_piece.ts";
 import { createInputRelease } from "./input_release.ts";
-import type { CalledMaker } from "./maker_calls.ts";
-import { createMakerCalls } from "./maker_calls.ts";
-import { createMakerRoom } from "./maker_room.ts";
+import type { CalledMaker } from "./stage_endpoint_calls.ts";
+import { createMakerCalls } from "./stage_endpoint_calls.ts";
+import { createMakerRoom } from "./result_storage.ts";
 import type {
   StageEndpoints,
   StageReply,
--- a/packages/serving/src/stage_feeder_test.ts
+++ b/packages/serving/src/stage_dispatcher_test.ts
@@ -2,7 +2,7 @@
 import { createFakeClock, settlePromises } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { FakeClock } from "@mangoreach/shared";
-import type { StageFeeder } from "./stage_feeder.ts";
+import type { StageFeeder } from "./stage_dispatcher.ts";
 import type { FakeStages } from "./test_support.ts";
 import { createTestEndpoint, createTestFeeder } from "./test_support.ts";
 
--- a/packages/serving/src/maker_calls.ts
+++ b/packages/serving/src/stage_endpoint_calls.ts
@@ -12,7 +12,7 @@
 import { formatEndpointKey } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { EndpointLoads } from "./endpoint_load.ts";
-import type { MakerRoom } from "./maker_room.ts";
+import type { MakerRoom } from "./result_storage.ts";
 
 /** An endpoint that is called. */
 export interface CalledMaker extends BatchEndpoint {
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -38,8 +38,8 @@
 } from "./serving_handles.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingState } from "./serving_state.ts";
-import type { StageFeederOptions } from "./stage_feeder.ts";
-import { createStageFeeder } from "./stage_feeder.ts";
+import type { StageFeederOptions } from "./stage_dispatcher.ts";
+import { createStageFeeder } from "./stage_dispatcher.ts";
 
 /** An endpoint with its id as address. */
 export function createTestEndpoint(
