--- a/packages/serving/src/crashing_piece_test.ts
+++ b/packages/serving/src/crashing_piece_test.ts
@@ -4,17 +4,17 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { FakeStages } from "./test_support.ts";
-import { createTestEndpoint, createTestFeeder } from "./test_support.ts";
+import { createTestDispatcher, createTestEndpoint } from "./test_support.ts";
 
 /**
- * One request's piece ends each maker that begins its call. Those that shared
- * the call are repeated, together and with it, at the next maker, which ends as
- * well; after the third all have failed, and callers whose pieces did nothing
- * wrong get 503. The same cause as with engines: what comes again is not known.
+ * A poison piece crashes every endpoint that runs it. Without isolation, the
+ * pieces that shared its call are retried in one call with it at the next
+ * endpoint, which crashes as well; after three attempts all of them fail, and
+ * callers of healthy requests get 503.
  */
-describe("a piece that ends each maker", () => {
+describe("a piece that crashes endpoints", () => {
   const CRASHING = "crashing";
-  const BESIDE = ["a", "b", "c"];
+  const HEALTHY = ["a", "b", "c"];
   const CALL_TIME = 300;
 
   function createRun(requestId: string): PieceRun {
@@ -32,56 +32,57 @@
     };
   }
 
-  /** Ends what is called, until no call is left. */
-  async function workOff(stages: FakeStages, clock: FakeClock) {
-    const ended: string[] = [];
+  /** Completes or crashes calls until none is left; returns the crashes. */
+  async function processCalls(stages: FakeStages, clock: FakeClock) {
+    const crashed: string[] = [];
     for (let at = 0; at < stages.calls.length; at++) {
       await clock.advance(CALL_TIME);
       const call = stages.calls[at]!;
       const isCrashing = call.pieces.some(({ requestId }) =>
         requestId === CRASHING
       );
-      if (isCrashing) ended.push(call.endpoint.id);
+      if (isCrashing) crashed.push(call.endpoint.id);
       if (isCrashing) call.breakOff("maybe");
       else call.finish();
       await clock.advance(CALL_TIME);
     }
-    return ended;
+    return crashed;
   }
 
   function createPool() {
     const clock = createFakeClock(0);
-    // It comes back at once each time.
+    // The endpoint restarts immediately after each crash.
     const endpoints = [createTestEndpoint("m1")];
     const budget = createRetryBudget({ share: 0, max: 100 });
-    return { clock, ...createTestFeeder(clock, endpoints, budget) };
+    return { clock, ...createTestDispatcher(clock, endpoints, budget) };
   }
 
-  it("does not take with it the pieces that shared its calls", async () => {
-    const { clock, feeder, stages } = createPool();
+  it("does not fail the pieces that shared its calls", async () => {
+    const { clock, dispatcher, stages } = createPool();
     const { signal } = new AbortController();
-    // The first keeps the maker busy, so the others gather for one call.
-    void feeder.run(createRun("first"), signal);
-    const runs = [CRASHING, ...BESIDE].map((id) =>
-      feeder.run(createRun(id), signal)
+    // The first run occupies the endpoint, so the others are batched in one
+    // call.
+    void dispatcher.run(createRun("first"), signal);
+    const runs = [CRASHING, ...HEALTHY].map((id) =>
+      dispatcher.run(createRun(id), signal)
     );
-    const ended = await workOff(stages, clock);
+    const crashed = await processCalls(stages, clock);
     const replies = await Promise.all(runs);
     expect(replies.map(({ outcomes }) => outcomes[0]?.kind))
       .to.deep.equal(["failed", "done", "done", "done"]);
-    expect(ended).to.have.length(3);
+    expect(crashed).to.have.length(3);
   });
 
-  it("is told to who asked for it, with the makers that ended", async () => {
-    const { clock, feeder, stages } = createPool();
+  it("is reported to the requester with the endpoints that crashed", async () => {
+    const { clock, dispatcher, stages } = createPool();
     const { signal } = new AbortController();
-    const run = feeder.run(createRun(CRASHING), signal);
-    await workOff(stages, clock);
+    const run = dispatcher.run(createRun(CRASHING), signal);
+    await processCalls(stages, clock);
     const { ends = [] } = await run;
     expect(ends.map(({ endpointKey }) => endpointKey))
       .to.deep.equal(["m1#1", "m1#1", "m1#1"]);
-    const quiet = feeder.run(createRun("quiet"), signal);
-    await workOff(stages, clock);
-    expect((await quiet).ends).to.equal(undefined);
+    const healthy = dispatcher.run(createRun("healthy"), signal);
+    await processCalls(stages, clock);
+    expect((await healthy).ends).to.equal(undefined);
   });
 });
--- a/packages/serving/src/dispatched_piece.ts
+++ b/packages/serving/src/dispatched_piece.ts
@@ -1,6 +1,5 @@
 /**
- * Pieces as their feeder keeps them, from the run that brings them to their
- * outcome.
+ * Pieces in a dispatcher, from the run that submits them to their outcome.
  *
  * @module
  */
@@ -9,49 +8,52 @@
 import type { Millis } from "@mangoreach/shared";
 import type { CalledPiece } from "./serving_handles.ts";
 
-/** The pieces of one stage of one request at its feeder. */
-export interface FeederGroup extends PieceGroup {
-  readonly pieces: FeederPiece[];
-  /** When the last call with pieces of it began. */
+/** The pieces of one stage of one request in a dispatcher. */
+export interface DispatchedGroup extends PieceGroup {
+  readonly pieces: DispatchedPiece[];
+  /** Start of the last call with pieces of the group. */
   lastCallAt: Millis;
   readonly ownsInputs: boolean;
   freedInputs: boolean;
-  /** Endpoints that ended during calls with its pieces. */
-  readonly ends: GroupEnd[];
+  /** Endpoint crashes during calls with pieces of the group. */
+  readonly ends: EndpointCrash[];
 }
 
-/** An endpoint that ended during a call with pieces of a group. */
-export interface GroupEnd {
+/** An endpoint that crashed during a call with pieces of a group. */
+export interface EndpointCrash {
   endpointKey: string;
   sentAt: Millis;
   endedAt: Millis;
 }
 
 /**
- * One end may have any cause, and calls of one request each would cost the pool
- * a call's time for every request that was there; a second end under the same
- * pieces has its cause among them.
+ * Crashes after which a group is isolated, that is, called without pieces of
+ * other requests. A single crash can have any cause, and isolating its groups
+ * would cost the pool one call for each request in the failed call. A second
+ * crash during calls with the same pieces is attributed to them.
  */
-const ENDS_TO_PART = 2;
+const MIN_CRASHES_TO_ISOLATE = 2;
 
-/** Why a piece is not made. */
-export type FailReason = Extract<PieceOutcome, { kind: "failed" }>["reason"];
+/** Why a piece failed. */
+export type FailureReason = Extract<PieceOutcome, { kind: "failed" }>["reason"];
 
-/** One of them. */
-export interface FeederPiece extends WaitingPiece {
-  readonly group: FeederGroup;
+/** A piece in a dispatcher. */
+export interface DispatchedPiece extends WaitingPiece {
+  readonly group: DispatchedGroup;
   order: CalledPiece;
   avoid: Set<string>;
   attempts: number;
   isCancelled: boolean;
-  /** Where its result lies once it is made. */
+  /** Address of the result once the piece is computed. */
   result: string | undefined;
-  /** Tells who asked for it; later outcomes are left out. */
-  settle(outcome: PieceOutcome): void;
+  /** Resolves the outcome of the piece; later outcomes are ignored. */
+  resolve(outcome: PieceOutcome): void;
 }
 
-/** Creates the group of a run, without pieces. */
-export function createFeederGroup({ ownsInputs }: PieceRun): FeederGroup {
+/** Creates the empty group of a run. */
+export function createDispatchedGroup(
+  { ownsInputs }: PieceRun,
+): DispatchedGroup {
   return {
     started: 0,
     pieces: [],
@@ -62,18 +64,18 @@
   };
 }
 
-/** Adds a piece to its group; the outcome comes when it is settled. */
-export function createFeederPiece(
-  group: FeederGroup,
+/** Adds a piece to a group; returns it with the promise of its outcome. */
+export function createDispatchedPiece(
+  group: DispatchedGroup,
   { request, order, now }: {
     request: PieceRun;
     order: PieceOrder;
     now: Millis;
   },
-): { piece: FeederPiece; outcome: Promise<PieceOutcome> } {
-  let settle: (outcome: PieceOutcome) => void = () => {};
-  const outcome = new Promise<PieceOutcome>((resolve) => settle = resolve);
-  const piece: FeederPiece = {
+): { piece: DispatchedPiece; outcome: Promise<PieceOutcome> } {
+  let resolve: (outcome: PieceOutcome) => void = () => {};
+  const outcome = new Promise<PieceOutcome>((done) => resolve = done);
+  const piece: DispatchedPiece = {
     priority: request.priority,
     group,
     onTimeAt: now + request.onTime,
@@ -87,16 +89,16 @@
     isCancelled: false,
     result: undefined,
     get isAlone() {
-      return group.ends.length >= ENDS_TO_PART;
+      return group.ends.length >= MIN_CRASHES_TO_ISOLATE;
     },
-    settle,
+    resolve,
   };
   group.pieces.push(piece);
   return { piece, outcome };
 }
 
-/** Each request in a call once, with what its pieces are made from. */
-export function listGroups(pieces: readonly FeederPiece[]) {
+/** Lists the distinct groups in a call with the source of their inputs. */
+export function listGroups(pieces: readonly DispatchedPiece[]) {
   const sources = new Map(
     pieces.map(({ group, order }) => [group, order.source]),
   );
--- a/packages/serving/src/early_release.ts
+++ b/packages/serving/src/early_release.ts
@@ -1,9 +1,10 @@
 /**
- * Frees the results of a request's stages as soon as its engine has them.
+ * Releases the stage results of a request as soon as its engine has fetched
+ * them.
  *
- * The load it answers: in a burst of requests whose stages make megabytes, the
- * makers' room binds. Kept until the engine's first event, after some 400 ms,
- * results take it for more than twice as long as they are needed.
+ * In a burst of requests whose stages produce megabytes, result storage limits
+ * the throughput. If results were stored until the engine's first event, after
+ * about 400 ms, they would occupy it for more than twice as long as needed.
  *
  * @module
  */
@@ -17,24 +18,26 @@
   clock: Clock;
   loads: EndpointLoads;
   route: Route;
-  /** The engine that the request is sent to. */
+  /** Engine to which the request is sent. */
   endpoint: EndpointInfo;
   results: StageResults;
 }
 
-/** An engine with free places fetches inputs in some ten milliseconds. */
+/** An engine with free capacity fetches inputs in about 10 ms. */
 const FETCH_TIME: Millis = 150;
-/** An engine with more requests, of some 64 that it runs, may let one wait. */
+/** An engine runs about 64 requests; above this load it can queue a request. */
 const FREE_ENGINE_LOAD = 24;
 
-/** Whether a request may run at a second endpoint. */
+/** Whether a request can be retried at another endpoint. */
 export function mayRunAgain({ kind, isResumable }: Route): boolean {
   return kind === "idempotent" || isResumable;
 }
 
 /**
- * Starts the release; the return value stops it. What may run again needs its
- * inputs again at another engine, and a loaded engine may not have them yet.
+ * Schedules the release and returns its cancel function. Results are not
+ * released early if the request can be retried, because another engine would
+ * need them, or if the engine is loaded, because it may not have fetched them
+ * yet.
  */
 export function startEarlyRelease(
   { clock, loads, route, endpoint, results }: EarlyReleaseOptions,
--- a/packages/serving/src/input_release.ts
+++ b/packages/serving/src/input_release.ts
@@ -1,88 +1,91 @@
 /**
- * Frees the inputs of stage calls as soon as their endpoint has fetched them.
+ * Releases the inputs of stage calls as soon as their endpoint has fetched
+ * them.
  *
- * The load it answers: makers of one pool have no room while results lie there
- * that the next pool's endpoints have fetched long ago. Kept until the call's
- * end, inputs take the room of the pool before for twice as long.
+ * Under load, result storage limits a pool's throughput. If inputs were stored
+ * until the end of the call that fetches them, they would occupy the storage of
+ * the preceding pool for twice as long.
  *
  * @module
  */
 import type { PieceSource } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** The pieces of one request in calls. */
-export interface FetchingGroup {
-  /** Pieces that are in a call or made. */
+/** The pieces of one stage of one request, which share their inputs. */
+export interface InputGroup {
+  /** Pieces that are in a call or computed. */
   readonly started: number;
   readonly pieces: { readonly length: number };
-  /** When the last call with pieces of it began. */
+  /** Start of the last call with pieces of the group. */
   readonly lastCallAt: Millis;
-  /** No other stage needs its inputs. */
+  /** Whether no other stage needs the inputs. */
   readonly ownsInputs: boolean;
-  /** Its inputs are freed; whoever asked for the pieces need not do it. */
+  /** Whether the inputs are released, so that the requester need not do it. */
   freedInputs: boolean;
 }
 
-/** A call that has just begun. */
-export interface FetchingCall {
+/** A call that fetches its inputs. */
+export interface InputFetch {
   startedAt: Millis;
-  groups: readonly { group: FetchingGroup; source: PieceSource }[];
-  /** The share of its maker's room that is taken. */
-  roomShare: number;
+  groups: readonly { group: InputGroup; source: PieceSource }[];
+  /** Share of the endpoint's result storage that is in use. */
+  storageShare: number;
 }
 
-/** Frees inputs for one feeder. */
-export interface InputRelease {
-  /** Pieces came to this feeder. */
-  noteRun(): void;
-  /** A sign that another feeder is at work: its calls need their inputs. */
-  noteOtherFeeder(): void;
-  /** Frees the call's inputs after a while; the return value stops that. */
-  startCall(call: FetchingCall): () => void;
+/** Releases inputs for one dispatcher. */
+export interface InputReleaser {
+  /** Records a run of pieces at this dispatcher. */
+  recordRun(): void;
+  /** Records evidence of another dispatcher, whose queued calls need inputs. */
+  recordOtherDispatcher(): void;
+  /** Schedules the release of a call's inputs; returns its cancel function. */
+  scheduleRelease(call: InputFetch): () => void;
 }
 
-/** Options of {@linkcode createInputRelease}. */
-export interface InputReleaseOptions {
+/** Options of {@linkcode createInputReleaser}. */
+export interface InputReleaserOptions {
   clock: Clock;
-  /** Frees results of another pool, at whoever feeds that. */
+  /** Releases results of another pool through the dispatcher of that pool. */
   releaseInputs: (pool: string, results: readonly string[]) => void;
 }
 
-/** An endpoint fetches the inputs of a call at once, in some ten milliseconds. */
+/** Endpoints fetch the inputs of a call immediately, in about 10 ms. */
 const FETCH_TIME: Millis = 120;
 /**
- * With two feeders for a moment, as after a restart, a call waits at its
- * endpoint before it fetches anything. So inputs are freed early only by who has
- * fed the pool for this long, and not for as long after a sign of another feeder.
+ * With two dispatchers for a short time, as after a restart, a call can be
+ * queued at its endpoint before it fetches its inputs. Inputs are therefore
+ * released early only if this entry has dispatched for the pool for this long,
+ * and no other dispatcher was detected for the same time.
  */
-const SETTLE_TIME: Millis = 5_000;
+const SOLE_DISPATCHER_TIME: Millis = 5_000;
 /**
- * Sizes of results are approximate: a maker that is filled to the last byte has
- * no room for some of them, and these are made again from the same inputs.
+ * Result sizes are approximate: an endpoint whose storage is filled completely
+ * has no storage for some results, which are computed again from the same
+ * inputs.
  */
-const SURE_ROOM_SHARE = 0.85;
+const MAX_STORAGE_SHARE = 0.85;
 
-/** Creates the release of a feeder that has just begun. */
-export function createInputRelease(
-  { clock, releaseInputs }: InputReleaseOptions,
-): InputRelease {
-  /** Since when pieces come here without a long pause. */
-  let feedingSince = clock.now();
+/** Creates the input releaser of a dispatcher that has just started. */
+export function createInputReleaser(
+  { clock, releaseInputs }: InputReleaserOptions,
+): InputReleaser {
+  /** Time since which pieces have arrived here without a long pause. */
+  let dispatchingSince = clock.now();
   let lastRunAt = -Infinity;
-  let otherFeederAt = -Infinity;
+  let otherDispatcherAt = -Infinity;
 
-  function isSettled(): boolean {
+  function isSoleDispatcher(): boolean {
     const now = clock.now();
-    return now - feedingSince > SETTLE_TIME &&
-      now - otherFeederAt > SETTLE_TIME;
+    return now - dispatchingSince > SOLE_DISPATCHER_TIME &&
+      now - otherDispatcherAt > SOLE_DISPATCHER_TIME;
   }
 
   /**
-   * Frees the inputs of groups that are in calls as a whole: for each pool in
-   * one message, as a call holds pieces of some ten requests.
+   * Releases the inputs of groups all of whose pieces are in calls, in one
+   * message per pool, because a call holds pieces of about ten requests.
    */
-  function releaseFetched({ startedAt, groups }: FetchingCall): void {
-    if (!isSettled()) return;
+  function releaseFetched({ startedAt, groups }: InputFetch): void {
+    if (!isSoleDispatcher()) return;
     const byPool = new Map<string, string[]>();
     for (const { group, source } of groups) {
       const isLastCall = group.started >= group.pieces.length &&
@@ -97,16 +100,16 @@
   }
 
   return {
-    noteRun() {
+    recordRun() {
       const now = clock.now();
-      if (now - lastRunAt > SETTLE_TIME) feedingSince = now;
+      if (now - lastRunAt > SOLE_DISPATCHER_TIME) dispatchingSince = now;
       lastRunAt = now;
     },
-    noteOtherFeeder() {
-      otherFeederAt = clock.now();
+    recordOtherDispatcher() {
+      otherDispatcherAt = clock.now();
     },
-    startCall(call) {
-      if (call.roomShare > SURE_ROOM_SHARE) return () => {};
+    scheduleRelease(call) {
+      if (call.storageShare > MAX_STORAGE_SHARE) return () => {};
       return clock.startTimer(FETCH_TIME, () => releaseFetched(call));
     },
   };
--- a/packages/serving/src/input_release_test.ts
+++ b/packages/serving/src/input_release_test.ts
@@ -1,24 +1,28 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createInputRelease } from "./input_release.ts";
+import { createInputReleaser } from "./input_release.ts";
 
 describe("early release of inputs", () => {
-  async function create({ settledFor = 6_000 } = {}) {
+  async function create({ activeFor = 6_000 } = {}) {
     const clock = createFakeClock(0);
-    const freed: string[] = [];
-    const release = createInputRelease({
+    const released: string[] = [];
+    const release = createInputReleaser({
       clock,
-      releaseInputs: (pool, results) => freed.push(`${pool} ${results.join()}`),
+      releaseInputs: (pool, results) =>
+        released.push(`${pool} ${results.join()}`),
     });
-    for (let passed = 0; passed <= settledFor; passed += 1_000) {
-      release.noteRun();
+    for (let passed = 0; passed <= activeFor; passed += 1_000) {
+      release.recordRun();
       await clock.advance(1_000);
     }
-    const startCall = (
-      change: { started?: number; roomShare?: number; ownsInputs?: boolean } =
-        {},
+    const scheduleRelease = (
+      change: {
+        started?: number;
+        storageShare?: number;
+        ownsInputs?: boolean;
+      } = {},
     ) =>
-      release.startCall({
+      release.scheduleRelease({
         startedAt: 10,
         groups: [{
           group: {
@@ -30,25 +34,25 @@
           },
           source: { kind: "results", results: ["m/1", "m/2"], pools: ["p"] },
         }],
-        roomShare: change.roomShare ?? 0.5,
+        storageShare: change.storageShare ?? 0.5,
       });
-    return { clock, freed, release, startCall };
+    return { clock, released, release, scheduleRelease };
   }
 
-  it("frees them when the endpoint has fetched them", async () => {
-    const { clock, freed, startCall } = await create();
-    startCall();
+  it("releases them when the endpoint has fetched them", async () => {
+    const { clock, released, scheduleRelease } = await create();
+    scheduleRelease();
     await clock.advance(100);
-    expect(freed).to.deep.equal([]);
+    expect(released).to.deep.equal([]);
     await clock.advance(50);
-    expect(freed).to.deep.equal(["p m/1,m/2"]);
+    expect(released).to.deep.equal(["p m/1,m/2"]);
   });
 
-  // A call holds pieces of some ten requests. A message for each of them took as
-  // much of the feeders' time as the pieces themselves.
-  it("frees the inputs of all requests of a call at once", async () => {
-    const { clock, freed, release } = await create();
-    release.startCall({
+  // A call holds pieces of about ten requests. One message per request would
+  // cost dispatchers as much time as the pieces themselves.
+  it("releases the inputs of all requests of a call together", async () => {
+    const { clock, released, release } = await create();
+    release.scheduleRelease({
       startedAt: 10,
       groups: ["a", "b", "c"].map((name) => ({
         group: {
@@ -60,48 +64,48 @@
         },
         source: { kind: "results", results: [`m/${name}`], pools: ["p"] },
       })),
-      roomShare: 0.5,
+      storageShare: 0.5,
     });
     await clock.advance(200);
-    expect(freed).to.deep.equal(["p m/a,m/b,m/c"]);
+    expect(released).to.deep.equal(["p m/a,m/b,m/c"]);
   });
 
-  // Each is a way in which a piece needs its inputs after the call has begun;
-  // freed then, the request is refused for a result that was there.
-  const KEPT = [
-    { name: "pieces of the request wait for another call", started: 3 },
+  // In each of these cases a piece needs its inputs after the call has started.
+  // If they were released, the request would be refused for a missing input.
+  const RETAINED = [
+    { name: "pieces of the request are queued for another call", started: 3 },
     { name: "another stage needs them too", ownsInputs: false },
-    { name: "the call fills its maker", roomShare: 0.9 },
-    { name: "this feeder has only just begun", settledFor: 2_000 },
+    { name: "the call fills the endpoint's storage", storageShare: 0.9 },
+    { name: "this dispatcher has just started", activeFor: 2_000 },
   ];
-  for (const { name, settledFor, ...change } of KEPT) {
+  for (const { name, activeFor, ...change } of RETAINED) {
     it(`keeps them while ${name}`, async () => {
-      const { clock, freed, startCall } = await create(
-        settledFor === undefined ? {} : { settledFor },
+      const { clock, released, scheduleRelease } = await create(
+        activeFor === undefined ? {} : { activeFor },
       );
-      startCall(change);
+      scheduleRelease(change);
       await clock.advance(500);
-      expect(freed).to.deep.equal([]);
+      expect(released).to.deep.equal([]);
     });
   }
 
-  it("keeps them for a while after a sign of another feeder", async () => {
-    const { clock, freed, release, startCall } = await create();
-    release.noteOtherFeeder();
-    startCall();
+  it("keeps them for a while after another dispatcher was detected", async () => {
+    const { clock, released, release, scheduleRelease } = await create();
+    release.recordOtherDispatcher();
+    scheduleRelease();
     await clock.advance(4_000);
-    expect(freed).to.deep.equal([]);
-    release.noteRun();
+    expect(released).to.deep.equal([]);
+    release.recordRun();
     await clock.advance(1_500);
-    startCall();
+    scheduleRelease();
     await clock.advance(500);
-    expect(freed.length).to.equal(1);
+    expect(released.length).to.equal(1);
   });
 
-  it("keeps them when the call has ended sooner", async () => {
-    const { clock, freed, startCall } = await create();
-    startCall()();
+  it("keeps them if the call ends before the release", async () => {
+    const { clock, released, scheduleRelease } = await create();
+    scheduleRelease()();
     await clock.advance(500);
-    expect(freed).to.deep.equal([]);
+    expect(released).to.deep.equal([]);
   });
 });
--- a/packages/serving/src/piece_router.ts
+++ b/packages/serving/src/piece_router.ts
@@ -36,7 +36,7 @@
 import { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
 import { createPoolWaits } from "./pool_wait_cache.ts";
-import type { StageFeeder } from "./stage_dispatcher.ts";
+import type { StageDispatcher } from "./stage_dispatcher.ts";
 
 /** Options of {@linkcode createPieceRouter}. */
 export interface PieceRouterOptions {
@@ -49,7 +49,7 @@
     "runPieces" | "readWaits" | "ping" | "releaseResults"
   >;
   /** The feeder in this process. */
-  findFeeder: (pool: string, partition: string) => StageFeeder;
+  findFeeder: (pool: string, partition: string) => StageDispatcher;
   listUsable: (pool: string) => readonly EndpointInfo[];
   /** The place of the endpoint that holds a result, if it is known. */
   readPlace: (result: string) => string | undefined;
@@ -103,9 +103,9 @@
 
   /** Feeders in order; undefined stands for this entry. */
   function listFeeders(name: PartitionName): (string | undefined)[] {
-    // News of others is seconds old at times, and differently old at each entry:
-    // leaving out who is only suspected would give a pool two feeders. The
-    // watch finds a dead one sooner than its silence elsewhere.
+    // News of others is seconds old at times, and differently old at each
+    // entry: leaving out who is only suspected would give a pool two feeders.
+    // The watch finds a dead one sooner than its silence elsewhere.
     const others = membership.list()
       .filter(({ health, record }) =>
         health !== "lost" && record.state !== "leaving" &&
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry keeps for each pool: its feeder, its budget of repeats, and the
- * times that its endpoints take.
+ * What an entry keeps for each pool: its dispatcher, its budget of repeats, and
+ * the times that its endpoints take.
  *
  * @module
  */
@@ -25,8 +25,8 @@
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { NoteSignals } from "./endpoint_signals.ts";
 import type { StageEndpoints } from "./serving_handles.ts";
-import type { StageFeeder } from "./stage_dispatcher.ts";
-import { createStageFeeder } from "./stage_dispatcher.ts";
+import type { StageDispatcher } from "./stage_dispatcher.ts";
+import { createStageDispatcher } from "./stage_dispatcher.ts";
 
 /** Options of {@linkcode createPoolParts}. */
 export interface PoolPartsOptions {
@@ -55,23 +55,23 @@
 
 /** The parts of all pools, made when they are first needed. */
 export interface PoolParts {
-  /** The feeder of one partition of a pool. */
-  findFeeder(pool: string, partition: string): StageFeeder;
+  /** The dispatcher of one partition of a pool. */
+  findFeeder(pool: string, partition: string): StageDispatcher;
   findBudget(pool: string): RetryBudget;
   findDelays(pool: string): DelayModel;
   findEngineChoice(pool: string): EngineChoice;
-  /** Lets all feeders look again, after endpoints have changed. */
+  /** Lets all dispatchers look again, after endpoints have changed. */
   refreshFeeders(): void;
 }
 
 /** The slack of a budget is shared out among so many entries at least. */
 const LEAST_ENTRIES = 10;
 /**
- * An entry that has just started knows few others: sharing the slack among those
- * would give a large fleet many times the slack after a restart of all.
+ * An entry that has just started knows few others: sharing the slack among
+ * those would give a large fleet many times the slack after a restart of all.
  */
 const UNKNOWN_ENTRIES = 100;
-/** Pieces are repeated at a feeder, which may be any entry. */
+/** Pieces are repeated at a dispatcher, which may be any entry. */
 const PIECE_REPEAT_SHARE = 0.1;
 const PIECE_REPEAT_SLACK = 10;
 
@@ -102,15 +102,15 @@
 /** Creates the parts of no pool yet. */
 export function createPoolParts(options: PoolPartsOptions): PoolParts {
   const { clock, log, loads } = options;
-  const feeders = new Map<string, StageFeeder>();
+  const dispatchers = new Map<string, StageDispatcher>();
   const isLearning = createLearningCheck(clock);
   let mostEntries = LEAST_ENTRIES;
 
-  function findFeeder(pool: string, partition: string): StageFeeder {
+  function findFeeder(pool: string, partition: string): StageDispatcher {
     const key = `${pool}/${partition}`;
-    const known = feeders.get(key);
+    const known = dispatchers.get(key);
     if (known !== undefined) return known;
-    const feeder = createStageFeeder({
+    const dispatcher = createStageDispatcher({
       clock,
       log,
       pool,
@@ -119,7 +119,7 @@
       listEndpoints: () =>
         listPartitionEndpoints(options.listUsable(pool), partition),
       markLeaving: options.markLeaving,
-      noteSignals: options.noteSignals,
+      handleSignals: options.noteSignals,
       allowance: options.allowance,
       listAt: options.listAt,
       endpointCheck: options.endpointCheck,
@@ -130,8 +130,8 @@
         max: PIECE_REPEAT_SLACK,
       }),
     });
-    feeders.set(key, feeder);
-    return feeder;
+    dispatchers.set(key, dispatcher);
+    return dispatcher;
   }
 
   /** The most entries that were known at a time: some may only be silent. */
@@ -152,7 +152,7 @@
   const findEngineChoice = createPerPool(() => createEngineChoice(clock));
 
   function refreshFeeders(): void {
-    for (const feeder of feeders.values()) feeder.refresh();
+    for (const dispatcher of dispatchers.values()) dispatcher.refresh();
   }
 
   return {
--- a/packages/serving/src/result_storage.ts
+++ b/packages/serving/src/result_storage.ts
@@ -1,77 +1,80 @@
 /**
- * The room for results at the endpoints of one stage pool, as its feeder counts
- * it: what was reserved for calls in progress, and the results that are kept.
+ * Result storage of the endpoints of one stage pool, as its dispatcher accounts
+ * for it: bytes reserved for calls in progress, and bytes of stored results.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 
-/** A result at its maker. */
-export interface HeldResult {
-  /** The key of the endpoint's incarnation: its results end with it. */
-  maker: string;
+/** A result that is stored at the endpoint that computed it. */
+export interface StoredResult {
+  /** Key of the endpoint's incarnation; the result is lost when that ends. */
+  producer: string;
   bytes: number;
-  /** When it was made. */
-  madeAt: Millis;
-  /** When its maker drops it if nobody frees it. */
-  lapsesAt: Millis;
+  createdAt: Millis;
+  /** Time at which the endpoint discards the result if it is not released. */
+  expiresAt: Millis;
 }
 
-/** The room that is taken at each endpoint, in bytes. */
-export interface MakerRoom {
-  /** Changes what is reserved for calls in progress. */
-  addTaken(maker: string, bytes: number): void;
-  /** A reserved piece was made: its bytes stay until they are dropped. */
-  hold(result: string, held: HeldResult): void;
-  drop(result: string): void;
-  /** An entry that died frees nothing; its results lapse at their makers. */
-  dropLapsed(now: Millis): void;
-  readTaken(maker: string): number;
-  /** The age of the oldest result that is kept at an endpoint. */
-  readOldest(maker: string, now: Millis): Millis;
+/** Bytes of result storage in use at each endpoint. */
+export interface ResultStorage {
+  /** Changes the bytes in use by reserved pieces; negative to cancel them. */
+  addUsed(producer: string, bytes: number): void;
+  /** Records the result of a reserved piece; its bytes stay in use. */
+  add(result: string, stored: StoredResult): void;
+  /** Removes a result and its bytes. Idempotent. */
+  remove(result: string): void;
+  /**
+   * Removes expired results. An entry that crashed releases nothing, so its
+   * results are stored until they expire.
+   */
+  removeExpired(now: Millis): void;
+  readUsed(producer: string): number;
+  /** Returns the age of the oldest result stored at an endpoint. */
+  readOldestAge(producer: string, now: Millis): Millis;
 }
 
-/** Creates the room of endpoints that keep nothing. */
-export function createMakerRoom(): MakerRoom {
-  const taken = new Map<string, number>();
-  const held = new Map<string, HeldResult>();
+/** Creates the accounts of endpoints that store nothing. */
+export function createResultStorage(): ResultStorage {
+  const used = new Map<string, number>();
+  const stored = new Map<string, StoredResult>();
 
-  function addTaken(maker: string, bytes: number): void {
-    const left = readTaken(maker) + bytes;
-    if (left > 0) taken.set(maker, left);
-    else taken.delete(maker);
+  function addUsed(producer: string, bytes: number): void {
+    const left = readUsed(producer) + bytes;
+    if (left > 0) used.set(producer, left);
+    else used.delete(producer);
   }
 
-  function drop(result: string): void {
-    const known = held.get(result);
+  function remove(result: string): void {
+    const known = stored.get(result);
     if (known === undefined) return;
-    held.delete(result);
-    addTaken(known.maker, -known.bytes);
+    stored.delete(result);
+    addUsed(known.producer, -known.bytes);
   }
 
-  function dropLapsed(now: Millis): void {
-    for (const [result, { lapsesAt }] of held) {
-      if (lapsesAt <= now) drop(result);
+  function removeExpired(now: Millis): void {
+    for (const [result, { expiresAt }] of stored) {
+      if (expiresAt <= now) remove(result);
     }
   }
 
-  function readTaken(maker: string): number {
-    return taken.get(maker) ?? 0;
+  function readUsed(producer: string): number {
+    return used.get(producer) ?? 0;
   }
 
-  function readOldest(maker: string, now: Millis): Millis {
-    const times = [...held.values()]
-      .filter((result) => result.maker === maker)
-      .map(({ madeAt }) => madeAt);
+  function readOldestAge(producer: string, now: Millis): Millis {
+    const times = [...stored.values()]
+      .filter((result) => result.producer === producer)
+      .map(({ createdAt }) => createdAt);
     return now - Math.min(now, ...times);
   }
 
   return {
-    addTaken,
-    hold: (result, kept) => void held.set(result, kept),
-    drop,
-    dropLapsed,
-    readTaken,
-    readOldest,
+    addUsed,
+    add: (result, kept) => void stored.set(result, kept),
+    remove,
+    removeExpired,
+    readUsed,
+    readOldestAge,
   };
 }
--- a/packages/serving/src/result_storage_test.ts
+++ b/packages/serving/src/result_storage_test.ts
@@ -1,49 +1,50 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { createMakerRoom } from "./result_storage.ts";
+import { createResultStorage } from "./result_storage.ts";
 
-describe("room at makers", () => {
-  const held = (bytes: number, lapsesAt = 4_000) => ({
-    maker: "e1",
+describe("result storage", () => {
+  const createStored = (bytes: number, expiresAt = 4_000) => ({
+    producer: "e1",
     bytes,
-    madeAt: lapsesAt - 4_000,
-    lapsesAt,
+    createdAt: expiresAt - 4_000,
+    expiresAt,
   });
 
-  it("counts calls in progress and what they made until it is freed", () => {
-    const room = createMakerRoom();
-    room.addTaken("e1", 300);
-    room.hold("r1", held(100));
-    room.hold("r2", held(200));
-    expect(room.readTaken("e1")).to.equal(300);
-    room.drop("r1");
-    room.drop("r1");
-    expect(room.readTaken("e1")).to.equal(200);
-    expect(room.readTaken("e2")).to.equal(0);
+  it("counts calls in progress, and their results until they are released", () => {
+    const storage = createResultStorage();
+    storage.addUsed("e1", 300);
+    storage.add("r1", createStored(100));
+    storage.add("r2", createStored(200));
+    expect(storage.readUsed("e1")).to.equal(300);
+    storage.remove("r1");
+    storage.remove("r1");
+    expect(storage.readUsed("e1")).to.equal(200);
+    expect(storage.readUsed("e2")).to.equal(0);
   });
 
-  // An entry was killed and frees nothing. Its results lapse at their maker; a
-  // feeder that went on counting them would leave the maker idle.
-  it("drops what has lapsed, and nothing else", () => {
-    const room = createMakerRoom();
-    room.addTaken("e1", 300);
-    room.hold("r1", held(100, 4_000));
-    room.hold("r2", held(200, 5_000));
-    room.dropLapsed(4_000);
-    expect(room.readTaken("e1")).to.equal(200);
-    expect(room.readOldest("e1", 4_500)).to.equal(3_500);
+  // An entry that crashed releases nothing, and its results expire at their
+  // endpoint. A dispatcher that still counted them would leave the endpoint
+  // idle.
+  it("removes only expired results", () => {
+    const storage = createResultStorage();
+    storage.addUsed("e1", 300);
+    storage.add("r1", createStored(100, 4_000));
+    storage.add("r2", createStored(200, 5_000));
+    storage.removeExpired(4_000);
+    expect(storage.readUsed("e1")).to.equal(200);
+    expect(storage.readOldestAge("e1", 4_500)).to.equal(3_500);
   });
 
-  it("is empty again once all that was taken is dropped", () => {
+  it("is empty after all results are removed", () => {
     const sizes = fc.array(fc.integer({ min: 1, max: 1_000 }));
     fc.assert(fc.property(sizes, (list) => {
-      const room = createMakerRoom();
+      const storage = createResultStorage();
       list.forEach((bytes, index) => {
-        room.addTaken("e1", bytes);
-        room.hold(`r${index}`, held(bytes));
+        storage.addUsed("e1", bytes);
+        storage.add(`r${index}`, createStored(bytes));
       });
-      room.dropLapsed(Infinity);
-      expect(room.readTaken("e1")).to.equal(0);
+      storage.removeExpired(Infinity);
+      expect(storage.readUsed("e1")).to.equal(0);
     }));
   });
 });
--- a/packages/serving/src/signalling_maker_test.ts
+++ b/packages/serving/src/signalling_maker_test.ts
@@ -8,8 +8,8 @@
 import { createSignalNotes } from "./endpoint_signals.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import {
+  createTestDispatcher,
   createTestEndpoint,
-  createTestFeeder,
   createTestPeer,
   TEST_SPEC,
 } from "./test_support.ts";
@@ -58,17 +58,22 @@
     directory: { listUsable: () => makers },
     isFed: () => true,
   });
-  const { feeder, stages } = createTestFeeder(clock, makers, undefined, {
-    allowance,
-    noteSignals: createSignalNotes({
-      log: createSilentDecisionLog(),
-      metrics: createServingMetrics("entry"),
-      limits,
-      pauses,
-      directory: { markLeaving: () => false },
-      listAt: () => [],
-    }),
-  });
+  const { dispatcher, stages } = createTestDispatcher(
+    clock,
+    makers,
+    undefined,
+    {
+      allowance,
+      handleSignals: createSignalNotes({
+        log: createSilentDecisionLog(),
+        metrics: createServingMetrics("entry"),
+        limits,
+        pauses,
+        directory: { markLeaving: () => false },
+        listAt: () => [],
+      }),
+    },
+  );
   /** Times of calls and releases that reached it. */
   const arrivals: Millis[] = [];
   /** When it asked for pauses. */
@@ -81,11 +86,11 @@
   let answered = 0;
   for (let step = 0; clock.now() < duration; step++) {
     const { signal } = new AbortController();
-    void feeder.run(createRun(step), signal).then(({ outcomes }) => {
+    void dispatcher.run(createRun(step), signal).then(({ outcomes }) => {
       const results = outcomes.flatMap((outcome) =>
         outcome.kind === "done" ? [outcome.result] : []
       );
-      feeder.release(results);
+      dispatcher.release(results);
     });
     for (const call of stages.calls.slice(answered)) {
       answered++;
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -1,9 +1,11 @@
 /**
- * Feeds the endpoints of one stage pool: gathers pieces of many requests, also
- * of other entries, into calls, and keeps count of the room at each endpoint.
+ * Dispatcher of one partition of a stage pool: the entry that batches and sends
+ * all calls of the partition. It combines pieces of many requests, from all
+ * entries, into calls, and tracks the result storage of each endpoint.
  *
- * A piece may be made again, so a feeder needs no agreement: if two entries feed
- * a pool for a moment, calls are less full and nothing breaks.
+ * Pieces are idempotent, so dispatchers are not elected by consensus: if two
+ * entries dispatch for a partition for a short time, batches are smaller and
+ * results stay correct.
  *
  * @module
  */
@@ -28,19 +30,19 @@
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { NoteSignals } from "./endpoint_signals.ts";
 import type {
-  FailReason,
-  FeederGroup,
-  FeederPiece,
+  DispatchedGroup,
+  DispatchedPiece,
+  FailureReason,
 } from "./dispatched_piece.ts";
 import {
-  createFeederGroup,
-  createFeederPiece,
+  createDispatchedGroup,
+  createDispatchedPiece,
   listGroups,
 } from "./dispatched_piece.ts";
-import { createInputRelease } from "./input_release.ts";
-import type { CalledMaker } from "./stage_endpoint_calls.ts";
-import { createMakerCalls } from "./stage_endpoint_calls.ts";
-import { createMakerRoom } from "./result_storage.ts";
+import { createInputReleaser } from "./input_release.ts";
+import type { CallableEndpoint } from "./stage_endpoint_calls.ts";
+import { createStageEndpointCalls } from "./stage_endpoint_calls.ts";
+import { createResultStorage } from "./result_storage.ts";
 import type {
   StageEndpoints,
   StageReply,
@@ -48,81 +50,86 @@
 } from "./serving_handles.ts";
 import type { DecisionLog } from "./decision_log.ts";
 
-/** Options of {@linkcode createStageFeeder}. */
-export interface StageFeederOptions {
+/** Options of {@linkcode createStageDispatcher}. */
+export interface StageDispatcherOptions {
   clock: Clock;
   log: DecisionLog;
   pool: string;
   stages: StageEndpoints;
   loads: EndpointLoads;
-  /** Endpoints that take new work now. */
+  /** Lists the endpoints that accept new work now. */
   listEndpoints: () => readonly EndpointInfo[];
-  /** Told of an endpoint whose address has become another's. */
+  /** Marks an endpoint whose address now belongs to another instance. */
   markLeaving: (endpointKey: string) => void;
-  /** Takes what an endpoint's answer says of the work that it takes. */
-  noteSignals: NoteSignals;
+  /** Handles the back-pressure signals in an endpoint's reply. */
+  handleSignals: NoteSignals;
   allowance: SendAllowance;
-  /** All endpoints that may be listening at an address. */
+  /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
   readSpec: () => BatchSpec;
   endpointCheck: EndpointCheck;
-  /** Pieces that are made a second time draw on it. */
+  /** Limits the retries of pieces. */
   budget: RetryBudget;
-  /** Frees results of another pool, at whoever feeds that. */
+  /** Releases results of another pool through the dispatcher of that pool. */
   releaseInputs: (pool: string, results: readonly string[]) => void;
 }
 
-/** Feeds one pool. */
-export interface StageFeeder {
+/** Dispatches the pieces of one pool partition. */
+export interface StageDispatcher {
   /** Runs the pieces of one stage of one request. */
   run(run: PieceRun, signal: AbortSignal): Promise<PieceRunReply>;
-  /** What a new piece of this priority would wait. */
+  /** Estimates the queueing delay of a new piece of this priority. */
   readWaits(priority: number): PieceWaits;
-  /** Frees results that nobody needs any more. */
+  /** Releases results that are no longer needed. */
   release(results: readonly string[]): void;
-  /** Looks again for calls to make, after endpoints have changed. */
+  /** Dispatches queued pieces again, after the endpoints have changed. */
   refresh(): void;
 }
 
-/** A piece that failed this often fails for good. */
+/** Calls in which a piece is tried before it fails. */
 const MAX_ATTEMPTS = 3;
-/** A call is given up after this many times what it should take, and more. */
+/**
+ * Calls time out after this multiple of their expected time, plus the slack.
+ */
 const CALL_TIMEOUT_FACTOR = 6;
 const CALL_TIMEOUT_SLACK: Millis = 1_000;
-/** How soon waiting pieces are looked at again when no endpoint was free. */
+/** Interval at which queued pieces are dispatched again. */
 const RECHECK_INTERVAL: Millis = 50;
 
-/** Creates the feeder of one pool. */
-export function createStageFeeder(options: StageFeederOptions): StageFeeder {
+/** Creates the dispatcher of one pool partition. */
+export function createStageDispatcher(
+  options: StageDispatcherOptions,
+): StageDispatcher {
   const { clock, log, pool, stages, loads, readSpec, budget } = options;
-  const batcher: PieceBatcher<FeederPiece> = createPieceBatcher(readSpec);
-  const flow = createPieceFlow(clock);
-  const room = createMakerRoom();
-  const inputs = createInputRelease({
+  const batcher: PieceBatcher<DispatchedPiece> = createPieceBatcher(readSpec);
+  const rates = createPieceFlow(clock);
+  const storage = createResultStorage();
+  const inputReleaser = createInputReleaser({
     clock,
     releaseInputs: options.releaseInputs,
   });
-  const makers = createMakerCalls({
+  const endpointCalls = createStageEndpointCalls({
     clock,
     loads,
-    room,
+    storage,
     listEndpoints: options.listEndpoints,
     allowance: options.allowance,
   });
-  let isRecheckDue = false;
+  let isRecheckScheduled = false;
 
   function run(request: PieceRun, signal: AbortSignal): Promise<PieceRunReply> {
-    inputs.noteRun();
-    const group = createFeederGroup(request);
+    inputReleaser.recordRun();
+    const group = createDispatchedGroup(request);
     const outcomes = Promise.all(
       request.pieces.map((order) => addPiece({ request, order, group })),
     );
     if (request.onTime > readSpec().callTime) {
-      flow.recordArrival(request.priority, group.pieces.length);
+      rates.recordArrival(request.priority, group.pieces.length);
     }
     const cancel = () => {
       failGroup(group, "late");
-      // Nobody will take the results that are there already.
+      // The reply of a cancelled run is not read, so nobody else releases
+      // these.
       release(group.pieces.flatMap(({ result }) => result ?? []));
     };
     signal.addEventListener("abort", cancel, { once: true });
@@ -134,12 +141,12 @@
         outcomes: list,
         waits: readWaits(request.priority),
         freedInputs: group.freedInputs,
-        ...(group.ends.length > 0 ? { ends: listEnds(group) } : {}),
+        ...(group.ends.length > 0 ? { ends: listCrashes(group) } : {}),
       };
     });
   }
 
-  function listEnds({ ends }: FeederGroup): EndpointEnd[] {
+  function listCrashes({ ends }: DispatchedGroup): EndpointEnd[] {
     const now = clock.now();
     return ends.map(({ endpointKey, sentAt, endedAt }) => ({
       endpointKey,
@@ -154,18 +161,18 @@
   }
 
   function readForecast() {
-    return flow.forecast(readSpec(), makers.count());
+    return rates.forecast(readSpec(), endpointCalls.count());
   }
 
   function addPiece(
     { request, order, group }: {
       request: PieceRun;
       order: PieceOrder;
-      group: FeederGroup;
+      group: DispatchedGroup;
     },
   ): Promise<PieceOutcome> {
     const now = clock.now();
-    const { piece, outcome } = createFeederPiece(group, {
+    const { piece, outcome } = createDispatchedPiece(group, {
       request,
       order,
       now,
@@ -176,43 +183,44 @@
   }
 
   /**
-   * A request needs all its pieces: what is not made yet is not made for
-   * nothing, and whoever waits learns it now and not with the last of them.
+   * Fails all incomplete pieces of a group. A request needs all its pieces, so
+   * the others would be computed in vain, and the request fails immediately
+   * rather than after its last piece.
    */
-  function failGroup({ pieces }: FeederGroup, reason: FailReason): void {
+  function failGroup({ pieces }: DispatchedGroup, reason: FailureReason): void {
     for (const piece of pieces) {
       if (piece.result !== undefined) continue;
       piece.isCancelled = true;
       batcher.remove(piece);
-      piece.settle({ kind: "failed", reason });
+      piece.resolve({ kind: "failed", reason });
     }
   }
 
   function dispatch(): void {
     const now = clock.now();
-    room.dropLapsed(now);
-    dropLate(now);
+    storage.removeExpired(now);
+    dropInfeasible(now);
     for (;;) {
-      const isStrained = flow.isStrained();
-      const call = batcher.planCall(makers.list(), { now, isStrained });
+      const isStrained = rates.isStrained();
+      const call = batcher.planCall(endpointCalls.list(), { now, isStrained });
       if (call === undefined) break;
-      flow.recordCall(call.pieces.length);
+      rates.recordCall(call.pieces.length);
       void runCall(call.endpoint, call.pieces);
     }
     const spec = readSpec();
-    const usable = makers.list();
-    flow.noteQueue({
+    const usable = endpointCalls.list();
+    rates.noteQueue({
       waiting: batcher.size,
       isBusy: usable.every(({ calls }) => calls >= spec.slots),
       spec,
       endpointCount: usable.length,
     });
-    if (batcher.size > 0) startRecheck();
+    if (batcher.size > 0) scheduleRecheck();
   }
 
-  function dropLate(now: Millis): void {
-    const hopeless = batcher.dropLate(now, readForecast());
-    const groups = new Map(hopeless.map((piece) => [piece.group, piece]));
+  function dropInfeasible(now: Millis): void {
+    const infeasible = batcher.dropLate(now, readForecast());
+    const groups = new Map(infeasible.map((piece) => [piece.group, piece]));
     for (const [group, { order, priority, dueAt }] of groups) {
       failGroup(group, "late");
       log.record("pieces_dropped", {
@@ -222,40 +230,43 @@
         left: dueAt - now,
         waiting: batcher.size,
         ...readWaits(priority),
-        reason: "they could not be done in time",
+        reason: "cannot meet the deadline",
       });
     }
   }
 
-  /** Endpoints come back and pieces grow late without any event here. */
-  function startRecheck(): void {
-    if (isRecheckDue) return;
-    isRecheckDue = true;
+  /**
+   * Endpoints become available and pieces miss their deadlines without an event
+   * that triggers a dispatch.
+   */
+  function scheduleRecheck(): void {
+    if (isRecheckScheduled) return;
+    isRecheckScheduled = true;
     clock.startTimer(RECHECK_INTERVAL, () => {
-      isRecheckDue = false;
+      isRecheckScheduled = false;
       dispatch();
     });
   }
 
   async function runCall(
-    maker: CalledMaker,
-    pieces: readonly FeederPiece[],
+    endpoint: CallableEndpoint,
+    pieces: readonly DispatchedPiece[],
   ): Promise<void> {
-    const { info, key } = maker;
+    const { info, key } = endpoint;
     const { callTime, pieceTime } = readSpec();
     const expected = callTime + pieces.length * pieceTime;
     const bytes = pieces.reduce((sum, piece) => sum + piece.resultBytes, 0);
     const startedAt = clock.now();
-    makers.begin(maker, expected);
-    room.addTaken(key, bytes);
+    endpointCalls.begin(endpoint, expected);
+    storage.addUsed(key, bytes);
     for (const piece of pieces) {
       piece.attempts++;
       piece.group.lastCallAt = startedAt;
     }
-    const stopRelease = inputs.startCall({
+    const cancelRelease = inputReleaser.scheduleRelease({
       startedAt,
       groups: listGroups(pieces),
-      roomShare: room.readTaken(key) / readSpec().roomBytes,
+      storageShare: storage.readUsed(key) / readSpec().roomBytes,
     });
     const reply = await stages.run({
       endpoint: info,
@@ -265,26 +276,27 @@
       })),
       timeout: CALL_TIMEOUT_FACTOR * expected + CALL_TIMEOUT_SLACK,
     });
-    stopRelease();
-    makers.end(maker);
+    cancelRelease();
+    endpointCalls.end(endpoint);
     const took = clock.now() - startedAt;
     if (reply.isErr) {
       const isUnreachable = reply.error.sent === "no";
       loads.end(info, isUnreachable ? "unreachable" : "failing");
-      room.addTaken(key, -bytes);
-      // Repeated before this is known, all would share their next call again.
+      storage.addUsed(key, -bytes);
+      // The crash is recorded before the pieces are queued again: otherwise
+      // they would share their next call with the piece that caused it.
       if (reply.error.kind === "cut" && !isUnreachable) {
-        await noteBroken(maker, { pieces, startedAt });
+        await recordCrash(endpoint, { pieces, startedAt });
       }
-      pieces.forEach((piece) => tryAgain(piece, info, "unavailable"));
+      pieces.forEach((piece) => retryPiece(piece, info, "unavailable"));
     } else {
       const source = {
         way: "stage_call",
         to: info,
         sentAt: startedAt,
       } as const;
-      options.noteSignals(source, reply.value);
-      takeReply(maker, {
+      options.handleSignals(source, reply.value);
+      handleReply(endpoint, {
         pieces,
         reply: reply.value,
         ratio: took / expected,
@@ -296,8 +308,8 @@
       requests: pieces.map(({ order }) => order.requestId),
       pieces: pieces.length,
       place: info.place,
-      roomTaken: room.readTaken(key),
-      oldestResult: room.readOldest(key, clock.now()),
+      roomTaken: storage.readUsed(key),
+      oldestResult: storage.readOldestAge(key, clock.now()),
       waiting: batcher.size,
       took,
       expected,
@@ -306,10 +318,10 @@
     dispatch();
   }
 
-  async function noteBroken(
-    { info, key }: CalledMaker,
+  async function recordCrash(
+    { info, key }: CallableEndpoint,
     { pieces, startedAt }: {
-      pieces: readonly FeederPiece[];
+      pieces: readonly DispatchedPiece[];
       startedAt: Millis;
     },
   ): Promise<void> {
@@ -320,123 +332,126 @@
     listGroups(pieces).forEach(({ group }) => group.ends.push(end));
   }
 
-  function takeReply(
-    maker: CalledMaker,
+  function handleReply(
+    endpoint: CallableEndpoint,
     { pieces, reply, ratio }: {
-      pieces: readonly FeederPiece[];
+      pieces: readonly DispatchedPiece[];
       reply: StageReply;
       ratio: number;
     },
   ): void {
-    const { info, key } = maker;
+    const { info, key } = endpoint;
     if (reply.kind === "results") {
       loads.end(info, "done");
       loads.recordRatio(info, ratio);
-      // Sizes are approximate, so the last pieces of a call that fills its maker
-      // find no room at times. Left alone for it, the maker would be idle for a
-      // third of a call after each.
-      const isAnyMade = reply.results.some(({ kind }) => kind === "done");
-      if (!isAnyMade) makers.block(maker);
+      // Result sizes are approximate, so the last pieces of a call that fills
+      // the endpoint's storage can fail. The endpoint is not blocked for that:
+      // it would be idle for a third of a call after every such call.
+      const isAnyComputed = reply.results.some(({ kind }) => kind === "done");
+      if (!isAnyComputed) endpointCalls.block(endpoint);
       pieces.forEach((piece, index) =>
-        takeResult(maker, piece, reply.results[index])
+        handleResult(endpoint, piece, reply.results[index])
       );
       return;
     }
     loads.end(info, reply.kind === "invalid" ? "failing" : "neutral");
     const refusal = reply.kind === "not_run" ? reply.reason : undefined;
-    // Its removal may be read seconds later; until then each call would be lost.
+    // The removal of the endpoint can be read seconds later from the store;
+    // until then every call to its address would fail.
     if (refusal === "other_instance") options.markLeaving(key);
     const isFull = refusal === "full";
     if (isFull) {
-      inputs.noteOtherFeeder();
-      makers.block(maker);
+      inputReleaser.recordOtherDispatcher();
+      endpointCalls.block(endpoint);
     }
     for (const piece of pieces) {
-      room.addTaken(key, -piece.resultBytes);
-      if (isFull) waitForRoom(piece);
-      else tryAgain(piece, info, "unavailable");
+      storage.addUsed(key, -piece.resultBytes);
+      if (isFull) enqueueForStorage(piece);
+      else retryPiece(piece, info, "unavailable");
     }
   }
 
-  function takeResult(
-    maker: CalledMaker,
-    piece: FeederPiece,
+  function handleResult(
+    endpoint: CallableEndpoint,
+    piece: DispatchedPiece,
     result: StageResult | undefined,
   ): void {
-    const { info, key } = maker;
+    const { info, key } = endpoint;
     if (result?.kind === "done") {
-      const madeAt = clock.now();
-      room.hold(result.result, {
-        maker: key,
+      const createdAt = clock.now();
+      storage.add(result.result, {
+        producer: key,
         bytes: piece.resultBytes,
-        madeAt,
-        lapsesAt: madeAt + readSpec().resultLifetime,
+        createdAt,
+        expiresAt: createdAt + readSpec().resultLifetime,
       });
-      // Nobody waits for it any more, but it takes room at its maker.
+      // The piece was cancelled during the call, but its result uses storage.
       if (piece.isCancelled) return release([result.result]);
       piece.result = result.result;
-      piece.settle(result);
+      piece.resolve(result);
       return;
     }
-    room.addTaken(key, -piece.resultBytes);
+    storage.addUsed(key, -piece.resultBytes);
     const reason = result?.reason ?? "error";
-    if (reason === "input_gone") inputs.noteOtherFeeder();
+    if (reason === "input_gone") inputReleaser.recordOtherDispatcher();
     if (reason === "late" || reason === "input_gone") {
       failGroup(piece.group, reason);
-    } else if (reason === "no_room") waitForRoom(piece);
-    else tryAgain(piece, info, reason);
+    } else if (reason === "no_room") enqueueForStorage(piece);
+    else retryPiece(piece, info, reason);
   }
 
   /**
-   * Results of another feeder, or of an entry that died, take room that is not
-   * counted here. Nothing ran, so the piece waits like any other, but only as many
-   * as repeats are left: without that bound 12 fewer of 1,650 requests of a
-   * played day were on time, and 61 more were late.
+   * Queues a piece again that found no storage: results of another dispatcher,
+   * or of an entry that crashed, use storage that is not counted here. The
+   * piece has not run, but it is charged to the retry budget all the same.
+   * Without this limit, in a simulated day of 1,650 requests, 12 fewer met
+   * their objective and 61 more were late.
    */
-  function waitForRoom(piece: FeederPiece): void {
+  function enqueueForStorage(piece: DispatchedPiece): void {
     if (piece.isCancelled) return;
-    if (budget.withdraw()) waitAgain(piece);
+    if (budget.withdraw()) enqueueAgain(piece);
     else failGroup(piece.group, "no_room");
   }
 
-  function tryAgain(
-    piece: FeederPiece,
+  function retryPiece(
+    piece: DispatchedPiece,
     { id }: EndpointInfo,
     reason: "error" | "unavailable",
   ): void {
     if (piece.isCancelled) return;
     piece.avoid.add(id);
-    // With the others out of use, the endpoint that failed it is better than
-    // none.
+    // If no other endpoint is healthy, those that failed the piece are used
+    // again.
     const others = loads.listInUse(options.listEndpoints())
       .filter(({ info }) => !piece.avoid.has(info.id));
     if (others.length === 0) piece.avoid.clear();
     if (piece.attempts >= MAX_ATTEMPTS || !budget.withdraw()) {
       return failGroup(piece.group, reason);
     }
-    waitAgain(piece);
+    enqueueAgain(piece);
   }
 
-  /** It needs its inputs once more. */
-  function waitAgain(piece: FeederPiece): void {
+  /** Queues a piece again; it will need its inputs again. */
+  function enqueueAgain(piece: DispatchedPiece): void {
     piece.group.started--;
     batcher.add(piece);
   }
 
   function release(results: readonly string[]): void {
-    const byMaker = new Map<string, string[]>();
+    const byProducer = new Map<string, string[]>();
     for (const result of results) {
-      const maker = stages.readMaker(result);
-      const list = byMaker.get(maker) ?? [];
-      byMaker.set(maker, list);
+      const producer = stages.readMaker(result);
+      const list = byProducer.get(producer) ?? [];
+      byProducer.set(producer, list);
       list.push(result);
     }
-    for (const [address, list] of byMaker) {
-      // A release is a request as well; without one, results lapse.
+    for (const [address, list] of byProducer) {
+      // A release counts against the endpoint's limit like any other request.
+      // Results that are not released expire.
       const isHeldBack = options.listAt(address)
         .some(options.allowance.isHeldBack);
       if (isHeldBack) continue;
-      list.forEach(room.drop);
+      list.forEach(storage.remove);
       void releaseAt(address, list);
     }
     dispatch();
@@ -448,7 +463,10 @@
   ): Promise<void> {
     const sentAt = clock.now();
     const answer = await stages.release(address, results);
-    options.noteSignals({ way: "stage_release", to: address, sentAt }, answer);
+    options.handleSignals(
+      { way: "stage_release", to: address, sentAt },
+      answer,
+    );
   }
 
   return {
--- a/packages/serving/src/stage_endpoint_calls.ts
+++ b/packages/serving/src/stage_endpoint_calls.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints of one stage pool as its feeder calls them: which take a call
- * now, and what is in progress at each.
+ * Tracks the calls of a dispatcher to the endpoints of a stage pool: which
+ * endpoints accept a call now, and what is in progress at each.
  *
  * @module
  */
@@ -12,90 +12,93 @@
 import { formatEndpointKey } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { EndpointLoads } from "./endpoint_load.ts";
-import type { MakerRoom } from "./result_storage.ts";
+import type { ResultStorage } from "./result_storage.ts";
 
-/** An endpoint that is called. */
-export interface CalledMaker extends BatchEndpoint {
-  /** Tells incarnations apart; its room is counted under it. */
+/** An endpoint to which calls can be sent. */
+export interface CallableEndpoint extends BatchEndpoint {
+  /** Key of the incarnation; its result storage is tracked under this key. */
   readonly key: string;
   calls: number;
   freeAt: Millis;
-  /** It was full or made nothing of a call; until then it gets nothing. */
+  /** The endpoint was full or completed no piece; no calls before this time. */
   blockedUntil: Millis;
 }
 
-/** Options of {@linkcode createMakerCalls}. */
-export interface MakerCallsOptions {
+/** Options of {@linkcode createStageEndpointCalls}. */
+export interface StageEndpointCallsOptions {
   clock: Clock;
   loads: EndpointLoads;
-  room: MakerRoom;
-  /** Endpoints that take new work now. */
+  storage: ResultStorage;
+  /** Lists the endpoints that accept new work now. */
   listEndpoints: () => readonly EndpointInfo[];
   allowance: Pick<SendAllowance, "mayBegin" | "begin" | "readWait">;
 }
 
 /** The calls in progress at the endpoints of one pool. */
-export interface MakerCalls {
-  /** Those that are in use and not blocked. */
-  list(): CalledMaker[];
-  /** How many are in use and take calls, if not just now. */
+export interface StageEndpointCalls {
+  /** Lists the healthy endpoints that accept a call now. */
+  list(): CallableEndpoint[];
+  /** Counts the healthy endpoints that accept a call now or soon. */
   count(): number;
-  begin(maker: CalledMaker, expected: Millis): void;
-  end(maker: CalledMaker): void;
-  /** Leaves an endpoint alone that is full, or made nothing of a call. */
-  block(maker: CalledMaker): void;
+  begin(endpoint: CallableEndpoint, expected: Millis): void;
+  end(endpoint: CallableEndpoint): void;
+  /**
+   * Pauses calls to an endpoint that is full or completed no piece of a call.
+   */
+  block(endpoint: CallableEndpoint): void;
 }
 
-/** An endpoint that is full has room again after about half a call. */
+/** A full endpoint has storage again after about half the time of a call. */
 const BLOCK_TIME: Millis = 150;
-/** An endpoint that may be called this soon counts as one that takes calls. */
-const SOON: Millis = 1_000;
+/** An endpoint whose limit allows a call within this time is counted. */
+const MAX_LIMIT_WAIT: Millis = 1_000;
 
-/** Creates the calls of a feeder that has made none. */
-export function createMakerCalls(
-  { clock, loads, room, listEndpoints, allowance }: MakerCallsOptions,
-): MakerCalls {
-  const makers = new Map<string, CalledMaker>();
+/** Creates the calls of a dispatcher that has sent none. */
+export function createStageEndpointCalls(
+  { clock, loads, storage, listEndpoints, allowance }:
+    StageEndpointCallsOptions,
+): StageEndpointCalls {
+  const states = new Map<string, CallableEndpoint>();
 
-  function list(): CalledMaker[] {
+  function list(): CallableEndpoint[] {
     const endpoints = listEndpoints();
     const keys = new Set(endpoints.map(formatEndpointKey));
-    for (const [key, { calls }] of makers) {
-      if (calls === 0 && !keys.has(key)) makers.delete(key);
+    for (const [key, { calls }] of states) {
+      if (calls === 0 && !keys.has(key)) states.delete(key);
     }
     const now = clock.now();
     return loads.listInUse(endpoints).map(({ info, slowness }) => {
       const key = formatEndpointKey(info);
       const free = { calls: 0, freeAt: 0, roomTaken: 0, blockedUntil: 0 };
-      const maker = makers.get(key) ?? { key, info, slowness, ...free };
-      makers.set(key, maker);
-      const roomTaken = room.readTaken(key);
-      return Object.assign(maker, { info, slowness, roomTaken });
+      const endpoint = states.get(key) ?? { key, info, slowness, ...free };
+      states.set(key, endpoint);
+      const roomTaken = storage.readUsed(key);
+      return Object.assign(endpoint, { info, slowness, roomTaken });
     }).filter(({ blockedUntil, info }) =>
       blockedUntil <= now && allowance.mayBegin(info)
     );
   }
 
-  /** Those that take a call soon: what they do bounds what others wait. */
+  // Endpoints that accept a call soon count: their rate bounds queueing delays.
   function count(): number {
     return loads.listInUse(listEndpoints())
-      .filter(({ info }) => allowance.readWait(info) <= SOON).length;
+      .filter(({ info }) => allowance.readWait(info) <= MAX_LIMIT_WAIT).length;
   }
 
   return {
     list,
     count,
-    begin(maker, expected) {
-      maker.calls++;
-      maker.freeAt = clock.now() + maker.slowness * expected;
-      loads.begin(maker.info);
-      allowance.begin(maker.info);
+    begin(endpoint, expected) {
+      endpoint.calls++;
+      endpoint.freeAt = clock.now() + endpoint.slowness * expected;
+      loads.begin(endpoint.info);
+      allowance.begin(endpoint.info);
     },
-    end(maker) {
-      maker.calls--;
+    end(endpoint) {
+      endpoint.calls--;
     },
-    block(maker) {
-      maker.blockedUntil = clock.now() + BLOCK_TIME;
+    block(endpoint) {
+      endpoint.blockedUntil = clock.now() + BLOCK_TIME;
     },
   };
 }
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -38,8 +38,8 @@
 } from "./serving_handles.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingState } from "./serving_state.ts";
-import type { StageFeederOptions } from "./stage_dispatcher.ts";
-import { createStageFeeder } from "./stage_dispatcher.ts";
+import type { StageDispatcherOptions } from "./stage_dispatcher.ts";
+import { createStageDispatcher } from "./stage_dispatcher.ts";
 
 /** An endpoint with its id as address. */
 export function createTestEndpoint(
@@ -211,19 +211,21 @@
   resultLifetime: 4_000,
 };
 
-/** A feeder before fake stage endpoints. */
-export function createTestFeeder(
+/** A dispatcher before fake stage endpoints. */
+export function createTestDispatcher(
   clock: FakeClock,
   endpoints: readonly EndpointInfo[],
   budget: RetryBudget = createRetryBudget({ share: 0.1, max: 4 }),
-  options: Partial<Pick<StageFeederOptions, "noteSignals" | "allowance">> = {},
+  options: Partial<
+    Pick<StageDispatcherOptions, "handleSignals" | "allowance">
+  > = {},
 ) {
   const stages = createFakeStages();
   /** Keys of endpoints that said they are another one. */
   const left = new Set<string>();
   /** Inputs that endpoints have fetched. */
   const fetched: string[] = [];
-  const feeder = createStageFeeder({
+  const dispatcher = createStageDispatcher({
     clock,
     log: createSilentDecisionLog(),
     pool: "pool",
@@ -232,7 +234,7 @@
     listEndpoints: () =>
       endpoints.filter((endpoint) => !left.has(formatEndpointKey(endpoint))),
     markLeaving: (endpointKey) => left.add(endpointKey),
-    noteSignals: options.noteSignals ?? (() => {}),
+    handleSignals: options.handleSignals ?? (() => {}),
     allowance: options.allowance ?? createOpenAllowance(),
     listAt: (address) =>
       endpoints.filter((endpoint) => endpoint.address === address),
@@ -242,7 +244,7 @@
     budget,
     releaseInputs: (_pool, results) => fetched.push(...results),
   });
-  return { feeder, stages, fetched };
+  return { dispatcher, stages, fetched };
 }
 
 /** What the caller of a test got, in order. */
