--- a/packages/serving/src/piece_router.ts
+++ b/packages/serving/src/piece_router.ts
@@ -1,13 +1,12 @@
 /**
- * Hands the pieces of a stage to the entry that feeds their partition of the
- * pool.
+ * Routes the pieces of a stage to the dispatcher of their pool partition.
  *
- * The feeder of a partition is the first in its rendezvous order of the live
- * entries on large instances, those of its place first, which all entries
- * compute alike. While pieces are with a feeder, it is watched: one that is
- * dead, paused or cut off answers nothing, and the pieces go to the next in
- * order, at last to this entry itself. Without the watch a request would wait
- * for a frozen feeder until its deadline.
+ * All entries compute the same rendezvous order of the live entries on large
+ * instances, those in the partition's place first; the first in this order is
+ * the dispatcher. While it has pieces of this entry, its liveness is probed. If
+ * it is dead, frozen or unreachable, the pieces go to the next entry in order,
+ * and finally to the dispatcher in this process. Without the probe a request
+ * would wait for a frozen dispatcher until its deadline.
  *
  * @module
  */
@@ -35,7 +34,7 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
-import { createPoolWaits } from "./pool_wait_cache.ts";
+import { createPoolWaitCache } from "./pool_wait_cache.ts";
 import type { StageDispatcher } from "./stage_dispatcher.ts";
 
 /** Options of {@linkcode createPieceRouter}. */
@@ -48,90 +47,91 @@
     ServingPeerClient,
     "runPieces" | "readWaits" | "ping" | "releaseResults"
   >;
-  /** The feeder in this process. */
+  /** Returns the dispatcher of a partition in this process. */
   findFeeder: (pool: string, partition: string) => StageDispatcher;
   listUsable: (pool: string) => readonly EndpointInfo[];
-  /** The place of the endpoint that holds a result, if it is known. */
+  /** Returns the place of the endpoint that stores a result, if it is known. */
   readPlace: (result: string) => string | undefined;
 }
 
-/** The pieces of one stage of one request, for whichever partition. */
+/** The pieces of one stage of one request; the router chooses the partition. */
 export type PieceWork = Omit<PieceRun, "partition">;
 
-/** What a new piece would wait for. */
-export interface PieceWaitsQuestion {
+/** A query for the estimated queueing delay of a new piece. */
+export interface PieceWaitsQuery {
   pool: string;
   priority: number;
-  /** Where its inputs lie, or its result will be fetched to. */
+  /** Place that stores the inputs, or from which the result will be fetched. */
   place: string | undefined;
 }
 
-/** Runs pieces wherever their pool is fed. */
+/** Runs pieces at the dispatcher of their partition. */
 export interface PieceRouter {
   run(
     work: PieceWork,
     signal: AbortSignal,
   ): Promise<Result<PieceRunReply, Failure>>;
-  /** What a new piece would wait; none if nobody can tell. */
-  readWaits(question: PieceWaitsQuestion): Promise<PieceWaits>;
-  /** Frees results; they are freed by who feeds their partition now. */
+  /** Estimates the queueing delay of a new piece; zero if it is unknown. */
+  readWaits(query: PieceWaitsQuery): Promise<PieceWaits>;
+  /** Releases results through the current dispatcher of their partition. */
   release(pool: string, results: readonly string[]): void;
 }
 
-/** How often a feeder that has pieces and tells nothing is asked. */
-const WATCH_INTERVAL: Millis = 250;
+/** Interval of the liveness probes of a dispatcher that has pieces. */
+const PROBE_INTERVAL: Millis = 250;
 /**
- * A feeder that is silent for this long is taken for dead. One that is only
- * short of processor answers late, which counts as well: taken for dead, its
- * load would go to the next in order, and that one would fall too.
+ * A dispatcher without any reply for this long is considered dead. Late replies
+ * count as signs of life: if a dispatcher that is only short of CPU were
+ * considered dead, its load would move to the next entry in order and overload
+ * that one too.
  */
-const LONGEST_SILENCE: Millis = 1_300;
-/** Feeders that failed are left out for this long. */
-const FEEDER_PENALTY: Millis = 3_000;
-/** Other feeders that are tried before this entry feeds itself. */
-const MAX_FEEDERS = 2;
+const LIVENESS_TIMEOUT: Millis = 1_300;
+/** Dispatchers that failed are skipped for this long. */
+const DEMOTION_TIME: Millis = 3_000;
+/** Other dispatchers that are tried before the one in this process. */
+const MAX_REMOTE_DISPATCHERS = 2;
 
 /** Creates the router of one entry. */
 export function createPieceRouter(
   options: PieceRouterOptions,
 ): PieceRouter {
   const { clock, log, membership, peers, findFeeder } = options;
-  /** Control address to the time until which it is left out. */
-  const penalties = new Map<string, Millis>();
-  const watches = new Map<string, FeederWatch>();
-  const poolWaits = createPoolWaits({ clock, ask: askWaits });
+  /** Control address of each demoted dispatcher to the end of its demotion. */
+  const demotions = new Map<string, Millis>();
+  const probes = new Map<string, LivenessProbe>();
+  const poolWaits = createPoolWaitCache({ clock, fetchWaits });
 
-  /** Feeders in order; undefined stands for this entry. */
-  function listFeeders(name: PartitionName): (string | undefined)[] {
-    // News of others is seconds old at times, and differently old at each
-    // entry: leaving out who is only suspected would give a pool two feeders.
-    // The watch finds a dead one sooner than its silence elsewhere.
+  /** Lists dispatchers in order; undefined stands for this entry. */
+  function listDispatchers(key: PartitionKey): (string | undefined)[] {
+    // Membership data can be stale by seconds and differs between entries. If
+    // suspected entries were skipped, a pool could get two dispatchers. The
+    // liveness probe detects a dead one sooner than membership does.
     const others = membership.list()
       .filter(({ health, record }) =>
         health !== "lost" && record.state !== "leaving" &&
-        !isPenalized(record.controlAddress)
+        !isDemoted(record.controlAddress)
       )
       .map(({ record }) => record);
-    return listFeederOrder([membership.self, ...others], name)
+    return listFeederOrder([membership.self, ...others], key)
       .map(({ entry, controlAddress }) =>
         entry === membership.self.entry ? undefined : controlAddress
       );
   }
 
-  function isPenalized(address: string): boolean {
-    const until = penalties.get(address);
+  function isDemoted(address: string): boolean {
+    const until = demotions.get(address);
     if (until === undefined) return false;
     if (clock.now() < until) return true;
-    penalties.delete(address);
+    demotions.delete(address);
     return false;
   }
 
-  function demoteFeeder(
+  function demoteDispatcher(
     address: string,
-    { pool, partition }: PartitionName,
+    { pool, partition }: PartitionKey,
     reason: string,
   ): void {
-    penalties.set(address, clock.now() + FEEDER_PENALTY);
+    demotions.set(address, clock.now() + DEMOTION_TIME);
     log.record("feeder_changed", { pool, partition, left: address, reason });
   }
 
@@ -139,41 +139,41 @@
     work: PieceWork,
     signal: AbortSignal,
   ): Promise<Result<PieceRunReply, Failure>> {
-    const partition = choosePartitionNow(work);
-    const reply = await tryFeeders({ ...work, partition }, signal);
+    const partition = chooseRunPartition(work);
+    const reply = await tryDispatchers({ ...work, partition }, signal);
     const { pool, priority } = work;
     if (reply.isOk) {
-      poolWaits.note({ pool, partition, priority }, reply.value.waits);
+      poolWaits.record({ pool, partition, priority }, reply.value.waits);
     }
     return reply;
   }
 
-  async function askWaits(
-    question: WaitsQuestion,
+  async function fetchWaits(
+    query: WaitsQuestion,
   ): Promise<PieceWaits | undefined> {
-    const { pool, partition, priority } = question;
-    const address = listFeeders(question)[0];
+    const { pool, partition, priority } = query;
+    const address = listDispatchers(query)[0];
     if (address === undefined) {
       return findFeeder(pool, partition).readWaits(priority);
     }
-    const reply = await peers.readWaits(address, question);
+    const reply = await peers.readWaits(address, query);
     if (reply.isErr) return undefined;
-    noteAlive(address);
+    recordAlive(address);
     return reply.value;
   }
 
-  /** The partition of the piece's place, and the others. */
-  function listChoices(
-    { pool, place }: Pick<PieceWaitsQuestion, "pool" | "place">,
+  /** Returns the partition of the piece's place, and the others. */
+  function listPoolPartitions(
+    { pool, place }: Pick<PieceWaitsQuery, "pool" | "place">,
   ) {
     const partitions = listPartitions(options.listUsable(pool));
     const home = choosePartition(partitions, place);
     return { home, others: partitions.filter((other) => other !== home) };
   }
 
-  /** By what is known of waits: asking would take longer than it saves. */
-  function choosePartitionNow({ pool, place, priority }: PieceWork): string {
-    const { home, others } = listChoices({ pool, place });
+  /** Uses cached waits only: a query would take longer than it saves. */
+  function chooseRunPartition({ pool, place, priority }: PieceWork): string {
+    const { home, others } = listPoolPartitions({ pool, place });
     return chooseOverflow(home, {
       others,
       readWait: (partition) =>
@@ -183,42 +183,43 @@
   }
 
   async function readWaits(
-    { pool, priority, place }: PieceWaitsQuestion,
+    { pool, priority, place }: PieceWaitsQuery,
   ): Promise<PieceWaits> {
-    const { home, others } = listChoices({ pool, place });
-    const ask = (partition: string) =>
+    const { home, others } = listPoolPartitions({ pool, place });
+    const read = (partition: string) =>
       poolWaits.read({ pool, partition, priority });
-    const near = await ask(home);
-    if (near.onTime <= OVERFLOW_WAIT) return near;
-    const all = await Promise.all(others.map(ask));
+    const homeWaits = await read(home);
+    if (homeWaits.onTime <= OVERFLOW_WAIT) return homeWaits;
+    const all = await Promise.all(others.map(read));
     return all.reduce(
       (best, waits) =>
         waits.onTime + OVERFLOW_WAIT < best.onTime ? waits : best,
-      near,
+      homeWaits,
     );
   }
 
-  async function tryFeeders(
+  async function tryDispatchers(
     order: PieceRun,
     signal: AbortSignal,
   ): Promise<Result<PieceRunReply, Failure>> {
     const startedAt = clock.now();
-    for (let tried = 0; tried < MAX_FEEDERS; tried++) {
-      const address = listFeeders(order)[0];
+    for (let tried = 0; tried < MAX_REMOTE_DISPATCHERS; tried++) {
+      const address = listDispatchers(order)[0];
       if (address === undefined) break;
-      const left = computeRest(order, clock.now() - startedAt);
+      const left = computeRemaining(order, clock.now() - startedAt);
       const reply = await runAt(address, left, signal);
       if (reply.isOk) return reply;
-      if (signal.aborted) return Result.err(failGivenUp());
-      // Out of time is no fault of the feeder, which is under load then.
+      if (signal.aborted) return Result.err(createCancelledFailure());
+      // A dispatcher that only ran out of time is under load and has not
+      // failed.
       if (clock.now() - startedAt >= order.remaining) {
-        return Result.ok(failAllLate(order));
+        return Result.ok(createLateReply(order));
       }
-      demoteFeeder(address, order, reply.error.message);
+      demoteDispatcher(address, order, reply.error.message);
     }
-    const left = computeRest(order, clock.now() - startedAt);
-    const feeder = findFeeder(order.pool, order.partition);
-    return Result.ok(await feeder.run(left, signal));
+    const left = computeRemaining(order, clock.now() - startedAt);
+    const dispatcher = findFeeder(order.pool, order.partition);
+    return Result.ok(await dispatcher.run(left, signal));
   }
 
   async function runAt(
@@ -226,48 +227,50 @@
     order: PieceRun,
     signal: AbortSignal,
   ): Promise<Result<PieceRunReply, Failure>> {
-    const watch = findWatch(address);
+    const probe = findProbe(address);
     const controller = new AbortController();
     const abort = () => controller.abort();
     signal.addEventListener("abort", abort, { once: true });
-    watch.pending.add(abort);
+    probe.pending.add(abort);
     const reply = await peers.runPieces(address, order, controller.signal);
-    if (reply.isOk) noteAlive(address);
-    watch.pending.delete(abort);
+    if (reply.isOk) recordAlive(address);
+    probe.pending.delete(abort);
     signal.removeEventListener("abort", abort);
     return reply;
   }
 
-  /** Any answer is a sign of life: it is not asked for another. */
-  function noteAlive(address: string): void {
-    const watch = watches.get(address);
-    if (watch !== undefined) watch.aliveAt = clock.now();
+  /**
+   * Any reply proves that a dispatcher is alive, so the next probe is skipped.
+   */
+  function recordAlive(address: string): void {
+    const probe = probes.get(address);
+    if (probe !== undefined) probe.aliveAt = clock.now();
   }
 
-  function findWatch(address: string): FeederWatch {
-    const known = watches.get(address);
+  function findProbe(address: string): LivenessProbe {
+    const known = probes.get(address);
     if (known !== undefined) return known;
-    const watch = { pending: new Set<() => void>(), aliveAt: clock.now() };
-    watches.set(address, watch);
-    void watchFeeder(address, watch);
-    return watch;
+    const probe = { pending: new Set<() => void>(), aliveAt: clock.now() };
+    probes.set(address, probe);
+    void probeDispatcher(address, probe);
+    return probe;
   }
 
-  async function watchFeeder(
+  async function probeDispatcher(
     address: string,
-    watch: FeederWatch,
+    probe: LivenessProbe,
   ): Promise<void> {
-    const readSilence = () => clock.now() - watch.aliveAt;
+    const readReplyAge = () => clock.now() - probe.aliveAt;
     for (;;) {
-      await clock.sleep(WATCH_INTERVAL);
-      if (watch.pending.size === 0) break;
-      if (readSilence() < WATCH_INTERVAL) continue;
+      await clock.sleep(PROBE_INTERVAL);
+      if (probe.pending.size === 0) break;
+      if (readReplyAge() < PROBE_INTERVAL) continue;
       const reply = await peers.ping(address);
-      if (reply.isOk) noteAlive(address);
-      else if (readSilence() >= LONGEST_SILENCE) break;
+      if (reply.isOk) recordAlive(address);
+      else if (readReplyAge() >= LIVENESS_TIMEOUT) break;
     }
-    watches.delete(address);
-    watch.pending.forEach((abort) => abort());
+    probes.delete(address);
+    probe.pending.forEach((abort) => abort());
   }
 
   function release(pool: string, results: readonly string[]): void {
@@ -284,14 +287,14 @@
     }
   }
 
-  function releaseAt(name: PartitionName, results: readonly string[]): void {
+  function releaseAt(key: PartitionKey, results: readonly string[]): void {
     const releaseHere = (list: readonly string[]) =>
-      findFeeder(name.pool, name.partition).release(list);
-    const address = listFeeders(name)[0];
+      findFeeder(key.pool, key.partition).release(list);
+    const address = listDispatchers(key)[0];
     if (address === undefined) return releaseHere(results);
     for (let at = 0; at < results.length; at += MAX_RELEASED) {
       const part = results.slice(at, at + MAX_RELEASED);
-      void peers.releaseResults(address, { ...name, results: part })
+      void peers.releaseResults(address, { ...key, results: part })
         .then((reply) => {
           if (reply.isErr) releaseHere(part);
         });
@@ -301,7 +304,7 @@
   return { run, readWaits, release };
 }
 
-function failAllLate({ pieces }: PieceRun): PieceRunReply {
+function createLateReply({ pieces }: PieceRun): PieceRunReply {
   return {
     outcomes: pieces.map(() => ({ kind: "failed", reason: "late" })),
     waits: { onTime: 0, late: 0, growth: 0 },
@@ -309,22 +312,22 @@
   };
 }
 
-/** The same run after some time has passed. */
-function computeRest(run: PieceRun, passed: Millis): PieceRun {
+/** Subtracts the elapsed time from the remaining times of a run. */
+function computeRemaining(run: PieceRun, elapsed: Millis): PieceRun {
   const { onTime, remaining } = run;
-  return { ...run, onTime: onTime - passed, remaining: remaining - passed };
+  return { ...run, onTime: onTime - elapsed, remaining: remaining - elapsed };
 }
 
-type PartitionName = Pick<PieceRun, "pool" | "partition">;
+type PartitionKey = Pick<PieceRun, "pool" | "partition">;
 
-interface FeederWatch {
-  /** When it last gave a sign of life. */
+interface LivenessProbe {
+  /** Time of its last reply. */
   aliveAt: Millis;
-  /** Gives up each run that is with the feeder. */
+  /** Abort functions of the runs in progress at the dispatcher. */
   pending: Set<() => void>;
 }
 
-function failGivenUp(): Failure {
+function createCancelledFailure(): Failure {
   return createFailure("cancelled", {
     verdict: "not_run",
     message: "the request was given up while its stages ran",
--- a/packages/serving/src/piece_router_test.ts
+++ b/packages/serving/src/piece_router_test.ts
@@ -23,7 +23,7 @@
 
 type PeerMode = "good" | "refuses" | "silent" | "late";
 
-describe("routing pieces to feeders", () => {
+describe("piece router", () => {
   function create(mode: PeerMode, state: PeerState = "live") {
     const clock = createFakeClock(0);
     const membership = createMembership({
@@ -36,7 +36,7 @@
     membership.merge(
       ["a", "b", "c", "d"].map((name) => ({ ...createTestPeer(name), state })),
     );
-    const asked: string[] = [];
+    const contacted: string[] = [];
     const fail = (address: string) =>
       Result.err<never, ReturnType<typeof createFailure>>(
         createFailure("unavailable", {
@@ -45,7 +45,7 @@
         }),
       );
     const runPieces: ServingPeerClient["runPieces"] = (address, _, signal) => {
-      asked.push(address);
+      contacted.push(address);
       if (mode === "refuses") return Promise.resolve(fail(address));
       if (mode === "good") {
         const outcomes = [{ kind: "done" as const, result: address }];
@@ -71,7 +71,7 @@
           return mode === "silent" ? fail(address) : Result.ok(null);
         },
         readWaits: (address) => {
-          asked.push(address);
+          contacted.push(address);
           return Promise.resolve(
             mode === "good"
               ? Result.ok({ onTime: 0, late: 50, growth: 0 })
@@ -92,56 +92,58 @@
       }),
     });
     const run = () => router.run(WORK, new AbortController().signal);
-    return { clock, run, asked, router };
+    return { clock, run, contacted, router };
   }
 
-  const readMaker = (reply: Result<PieceRunReply, unknown>) =>
+  const readFirstOutcome = (reply: Result<PieceRunReply, unknown>) =>
     reply.isOk && reply.value.outcomes[0];
 
-  it("keeps to one feeder for a pool", async () => {
-    const { run, asked } = create("good");
+  it("uses one dispatcher for a pool", async () => {
+    const { run, contacted } = create("good");
     for (let index = 0; index < 5; index++) await run();
-    expect(new Set(asked).size).to.be.at.most(1);
+    expect(new Set(contacted).size).to.be.at.most(1);
   });
 
-  it("feeds the pool itself when the feeders fail", async () => {
-    const { run, asked } = create("refuses");
-    expect(readMaker(await run()))
+  it("uses its own dispatcher when the others fail", async () => {
+    const { run, contacted } = create("refuses");
+    expect(readFirstOutcome(await run()))
       .to.deep.equal({ kind: "done", result: "self" });
-    expect(new Set(asked).size).to.equal(asked.length);
-    const before = asked.length;
+    expect(new Set(contacted).size).to.equal(contacted.length);
+    const before = contacted.length;
     await run();
-    expect(asked.slice(before)).not.to.include(asked[0]);
+    expect(contacted.slice(before)).not.to.include(contacted[0]);
   });
 
-  // All processes ended at once, or the store is away: nobody is ready for
-  // callers. Taken for leaving, each entry would feed every pool itself, and the
+  // After all processes have stopped at once, or while the store is
+  // unavailable, no entry is ready for callers. If unready entries were skipped
+  // like leaving ones, every entry would dispatch for every pool itself, and
   // endpoints would get the calls of all.
-  it("keeps to one feeder while no entry is ready", async () => {
+  it("uses one dispatcher while no entry is ready", async () => {
     const live = create("good");
     const unready = create("good", "unready");
     await live.run();
     await unready.run();
-    expect(unready.asked).to.deep.equal(live.asked);
-    expect(unready.asked.length).to.equal(1);
+    expect(unready.contacted).to.deep.equal(live.contacted);
+    expect(unready.contacted.length).to.equal(1);
     const leaving = create("good", "leaving");
     await leaving.run();
-    expect(leaving.asked).to.deep.equal([]);
+    expect(leaving.contacted).to.deep.equal([]);
   });
 
-  // News of the feeder takes three seconds to one entry and one to another. If
-  // the first left it, two feeders would send to the same endpoints.
-  it("keeps to a feeder that is only suspected", async () => {
-    const { run, asked, clock } = create("good");
+  // Updates of the dispatcher reach one entry after three seconds and another
+  // after one. If the first switched, two dispatchers would send to the same
+  // endpoints.
+  it("does not switch from a dispatcher that is only suspected", async () => {
+    const { run, contacted, clock } = create("good");
     await run();
     await clock.advance(3_000);
     await run();
-    expect(asked.length).to.be.greaterThan(0);
-    expect(asked[1]).to.equal(asked[0]);
+    expect(contacted.length).to.be.greaterThan(0);
+    expect(contacted[1]).to.equal(contacted[0]);
   });
 
-  it("keeps what a run told of waits for a short time, then asks", async () => {
-    const { run, router, clock, asked } = create("good");
+  it("caches the waits that a run reported, then queries them", async () => {
+    const { run, router, clock, contacted } = create("good");
     const readLate = async (priority: number) =>
       (await router.readWaits({ pool: "pool", priority, place: "here" })).late;
     await run();
@@ -149,14 +151,14 @@
     expect(await readLate(2)).to.equal(50);
     await clock.advance(1_000);
     expect(await readLate(1)).to.equal(50);
-    expect(new Set(asked).size).to.equal(1);
+    expect(new Set(contacted).size).to.equal(1);
   });
 
-  describe("of a divided pool", () => {
+  describe("of a partitioned pool", () => {
     const PLACES = ["x", "y", "z"];
 
     /** Nine endpoints, six entries; `waits` by partition. */
-    function createDivided(waits: Record<string, number>) {
+    function createPartitioned(waits: Record<string, number>) {
       const clock = createFakeClock(0);
       const membership = createMembership({
         clock,
@@ -169,7 +171,7 @@
         { ...createTestPeer(`${place}-1`), place },
         { ...createTestPeer(`${place}-2`), place },
       ]));
-      const fed: { address: string; partition: string }[] = [];
+      const dispatched: { address: string; partition: string }[] = [];
       const released: string[] = [];
       const router = createPieceRouter({
         clock,
@@ -186,7 +188,7 @@
         peers: {
           ping: () => Promise.resolve(Result.ok(null)),
           runPieces: (address, { partition }) => {
-            fed.push({ address, partition });
+            dispatched.push({ address, partition });
             return Promise.resolve(Result.ok({
               outcomes: [{ kind: "done" as const, result: "r" }],
               waits: { onTime: waits[partition] ?? 0, late: 0, growth: 0 },
@@ -207,20 +209,20 @@
           },
         },
         findFeeder: () => {
-          throw new Error("this entry feeds nothing");
+          throw new Error("this entry dispatches nothing");
         },
       });
       const run = async (place: string) => {
         await router.run({ ...WORK, place }, new AbortController().signal);
-        return fed.at(-1)!;
+        return dispatched.at(-1)!;
       };
       return { router, run, released };
     }
 
-    // With one feeder for the whole pool, results cross between places and one
-    // entry gets the messages of all.
-    it("has the pieces of a place fed there", async () => {
-      const { run } = createDivided({});
+    // With one dispatcher for the whole pool, results would move between
+    // places, and one entry would get the messages of all.
+    it("dispatches the pieces of a place there", async () => {
+      const { run } = createPartitioned({});
       for (const place of PLACES) {
         const { address, partition } = await run(place);
         expect(partition).to.equal(place);
@@ -228,52 +230,55 @@
       }
     });
 
-    it("frees each result at who feeds its maker", () => {
-      const { router, released } = createDivided({});
+    it("releases each result through the dispatcher of its partition", () => {
+      const { router, released } = createPartitioned({});
       router.release("pool", ["x1", "y1", "x2"]);
       expect(released.length).to.equal(2);
       expect(released[0]).to.match(/^x-\d x1\+x2$/);
       expect(released[1]).to.match(/^y-\d y1$/);
     });
 
-    // A place has lost two of its three endpoints. Without the others its
-    // requests would wait for seconds beside idle endpoints.
-    it("sends pieces elsewhere while their place is far behind", async () => {
-      const { router, run } = createDivided({ x: 900, y: 50, z: 150 });
+    // A place has lost two of its three endpoints. Without overflow its
+    // requests would queue for seconds while endpoints in other places are
+    // idle.
+    it("sends pieces to another place that has much shorter waits", async () => {
+      const { router, run } = createPartitioned({ x: 900, y: 50, z: 150 });
       const question = { pool: "pool", priority: 1, place: "x" };
       expect((await router.readWaits(question)).onTime).to.equal(50);
       expect((await run("x")).partition).to.equal("y");
       expect((await run("y")).partition).to.equal("y");
     });
 
-    it("keeps pieces in their place while others are not far better", async () => {
-      const { router, run } = createDivided({ x: 300, y: 150, z: 200 });
+    it("keeps pieces in their place if others have similar waits", async () => {
+      const { router, run } = createPartitioned({ x: 300, y: 150, z: 200 });
       const question = { pool: "pool", priority: 1, place: "x" };
       expect((await router.readWaits(question)).onTime).to.equal(300);
       expect((await run("x")).partition).to.equal("x");
     });
   });
 
-  // The feeder is short of processor and answers a second late. Left for that,
-  // its load would make the next in order late, and so on through all.
-  it("keeps to a feeder that answers late", async () => {
-    const { run, clock, asked } = create("late");
+  // The dispatcher is short of CPU and replies a second late. If it were
+  // skipped, its load would overload the next in order, and so on through all
+  // entries.
+  it("does not switch from a dispatcher that replies late", async () => {
+    const { run, clock, contacted } = create("late");
     void run();
     await clock.advance(10_000);
-    expect(asked.length).to.equal(1);
+    expect(contacted.length).to.equal(1);
   });
 
-  // The feeder is frozen: its connections stay open and nothing comes. Requests
-  // would wait for their deadline; the watch hears nothing for over a second.
-  it("takes pieces away from a feeder that has fallen silent", async () => {
-    const { run, clock, asked } = create("silent");
+  // The dispatcher is frozen: its connections stay open without a reply.
+  // Without the liveness probe, requests would wait for it until their
+  // deadline.
+  it("moves pieces from a dispatcher that has stopped replying", async () => {
+    const { run, clock, contacted } = create("silent");
     const reply = run();
     await clock.advance(1_100);
-    expect(asked.length).to.equal(1);
+    expect(contacted.length).to.equal(1);
     await clock.advance(500);
-    expect(asked.length).to.equal(2);
+    expect(contacted.length).to.equal(2);
     await clock.advance(1_500);
-    expect(readMaker(await reply))
+    expect(readFirstOutcome(await reply))
       .to.deep.equal({ kind: "done", result: "self" });
   });
 });
--- a/packages/serving/src/pool_wait_cache.ts
+++ b/packages/serving/src/pool_wait_cache.ts
@@ -1,10 +1,10 @@
 /**
- * What the feeders of pools say of waits, for admission: kept for a short time,
- * then asked for anew.
+ * Caches the queueing delays that dispatchers report, for admission control.
  *
- * Waits also come with each run of pieces, but only when it ends: at the start
- * of a burst that is a second too late, and an entry that refuses all has no
- * runs that could tell it that the burst is over.
+ * Delays are also reported with each run of pieces, but only when it ends. At
+ * the start of a burst that is a second too late, and an entry that refuses all
+ * requests has no runs that would report the end of the burst. Values therefore
+ * expire after a short time and are fetched again.
  *
  * @module
  */
@@ -12,80 +12,83 @@
 import type { WaitsQuestion } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Options of {@linkcode createPoolWaits}. */
-export interface PoolWaitsOptions {
+/** Options of {@linkcode createPoolWaitCache}. */
+export interface PoolWaitCacheOptions {
   clock: Clock;
-  /** Asks who feeds it; undefined if that does not answer. */
-  ask: (question: WaitsQuestion) => Promise<PieceWaits | undefined>;
+  /** Queries the dispatcher; undefined if it does not reply. */
+  fetchWaits: (query: WaitsQuestion) => Promise<PieceWaits | undefined>;
 }
 
-/** The waits of all pools. */
-export interface PoolWaits {
-  note(question: WaitsQuestion, waits: PieceWaits): void;
-  read(question: WaitsQuestion): Promise<PieceWaits>;
-  /** What is known without asking, if it is young enough. */
-  peek(question: WaitsQuestion): PieceWaits | undefined;
+/** Queueing delays by pool, partition and priority. */
+export interface PoolWaitCache {
+  record(query: WaitsQuestion, waits: PieceWaits): void;
+  /** Returns fresh waits, from the cache or the dispatcher. */
+  read(query: WaitsQuestion): Promise<PieceWaits>;
+  /** Returns cached waits that are not too stale, without a query. */
+  peek(query: WaitsQuestion): PieceWaits | undefined;
 }
 
-/** News of a pool without waits; a queue of a second takes longer to grow. */
-const CALM_LIFETIME: Millis = 400;
-/** News of a loaded pool; its queue changes with every call, in some 300 ms. */
-const LOADED_LIFETIME: Millis = 120;
-/** Shorter waits are those between two calls. */
-const LOADED_WAIT: Millis = 100;
-/** Older news of a feeder that does not answer says nothing. */
-const LONGEST_LIFETIME: Millis = 800;
+/** TTL for an idle pool; a queue of one second takes longer to build up. */
+const IDLE_TTL: Millis = 400;
+/**
+ * TTL for a loaded pool; its queue changes with every call, in about 300 ms.
+ */
+const LOADED_TTL: Millis = 120;
+/** Shorter waits are normal gaps between two calls. */
+const MIN_LOADED_WAIT: Millis = 100;
+/** Older waits of a dispatcher that does not reply are ignored. */
+const MAX_STALE_AGE: Millis = 800;
 const NO_WAITS: PieceWaits = { onTime: 0, late: 0, growth: 0 };
 
-interface Known {
+interface CachedWaits {
   waits: PieceWaits;
   at: Millis;
 }
 
-/** Creates the waits of pools nothing is known of. */
-export function createPoolWaits(
-  { clock, ask }: PoolWaitsOptions,
-): PoolWaits {
-  const known = new Map<string, Known>();
+/** Creates an empty cache. */
+export function createPoolWaitCache(
+  { clock, fetchWaits }: PoolWaitCacheOptions,
+): PoolWaitCache {
+  const cache = new Map<string, CachedWaits>();
   const pending = new Map<string, Promise<PieceWaits>>();
 
-  function note(question: WaitsQuestion, waits: PieceWaits): void {
-    known.set(formatKey(question), { waits, at: clock.now() });
+  function record(query: WaitsQuestion, waits: PieceWaits): void {
+    cache.set(formatKey(query), { waits, at: clock.now() });
   }
 
-  function findYoung(key: string, lifetime?: Millis): PieceWaits | undefined {
-    const last = known.get(key);
-    if (last === undefined) return undefined;
-    const { waits, at } = last;
-    const isLoaded = waits.late >= LOADED_WAIT;
-    const limit = lifetime ?? (isLoaded ? LOADED_LIFETIME : CALM_LIFETIME);
-    return clock.now() - at <= limit ? waits : undefined;
+  function findFresh(key: string, ttl?: Millis): PieceWaits | undefined {
+    const cached = cache.get(key);
+    if (cached === undefined) return undefined;
+    const { waits, at } = cached;
+    const isLoaded = waits.late >= MIN_LOADED_WAIT;
+    const maxAge = ttl ?? (isLoaded ? LOADED_TTL : IDLE_TTL);
+    return clock.now() - at <= maxAge ? waits : undefined;
   }
 
-  async function askAnew(question: WaitsQuestion): Promise<PieceWaits> {
-    const waits = await ask(question);
-    const key = formatKey(question);
+  async function refresh(query: WaitsQuestion): Promise<PieceWaits> {
+    const waits = await fetchWaits(query);
+    const key = formatKey(query);
     pending.delete(key);
     if (waits === undefined) {
-      return findYoung(key, LONGEST_LIFETIME) ?? NO_WAITS;
+      return findFresh(key, MAX_STALE_AGE) ?? NO_WAITS;
     }
-    note(question, waits);
+    record(query, waits);
     return waits;
   }
 
-  function read(question: WaitsQuestion): Promise<PieceWaits> {
-    const key = formatKey(question);
-    const young = findYoung(key);
-    if (young !== undefined) return Promise.resolve(young);
-    const asked = pending.get(key) ?? askAnew(question);
-    pending.set(key, asked);
-    return asked;
+  function read(query: WaitsQuestion): Promise<PieceWaits> {
+    const key = formatKey(query);
+    const fresh = findFresh(key);
+    if (fresh !== undefined) return Promise.resolve(fresh);
+    const request = pending.get(key) ?? refresh(query);
+    pending.set(key, request);
+    return request;
   }
 
   return {
-    note,
+    record,
     read,
-    peek: (question) => findYoung(formatKey(question), LONGEST_LIFETIME),
+    peek: (query) => findFresh(formatKey(query), MAX_STALE_AGE),
   };
 }
 
--- a/packages/serving/src/pool_wait_cache_test.ts
+++ b/packages/serving/src/pool_wait_cache_test.ts
@@ -1,53 +1,53 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createPoolWaits } from "./pool_wait_cache.ts";
+import { createPoolWaitCache } from "./pool_wait_cache.ts";
 
-const QUESTION = { pool: "pool", partition: "", priority: 1 };
+const QUERY = { pool: "pool", partition: "", priority: 1 };
 
-describe("waits of pools", () => {
+describe("pool wait cache", () => {
   function create(answers: readonly (number | undefined)[]) {
     const clock = createFakeClock(0);
-    const asked: string[] = [];
-    const waits = createPoolWaits({
+    const queries: string[] = [];
+    const waits = createPoolWaitCache({
       clock,
-      ask: ({ pool, priority }) => {
-        const late = answers[Math.min(asked.length, answers.length - 1)];
-        asked.push(`${pool}/${priority}`);
+      fetchWaits: ({ pool, priority }) => {
+        const late = answers[Math.min(queries.length, answers.length - 1)];
+        queries.push(`${pool}/${priority}`);
         return Promise.resolve(
           late === undefined ? undefined : { onTime: 0, late, growth: 0 },
         );
       },
     });
-    const read = async () => (await waits.read(QUESTION)).late;
-    return { clock, asked, waits, read };
+    const read = async () => (await waits.read(QUERY)).late;
+    return { clock, queries, waits, read };
   }
 
   const CASES = [
-    { name: "a calm pool", late: 0, pause: 300, asks: 1 },
-    { name: "a calm pool after a while", late: 0, pause: 500, asks: 2 },
-    { name: "a loaded pool", late: 900, pause: 100, asks: 1 },
-    { name: "a loaded pool after a call", late: 900, pause: 200, asks: 2 },
+    { name: "an idle pool", late: 0, pause: 300, count: 1 },
+    { name: "an idle pool after its TTL", late: 0, pause: 500, count: 2 },
+    { name: "a loaded pool", late: 900, pause: 100, count: 1 },
+    { name: "a loaded pool after its TTL", late: 900, pause: 200, count: 2 },
   ];
-  for (const { name, late, pause, asks } of CASES) {
-    it(`asks ${asks === 1 ? "once" : "again"} for ${name}`, async () => {
-      const { read, clock, asked } = create([late]);
+  for (const { name, late, pause, count } of CASES) {
+    it(`queries ${count === 1 ? "once" : "again"} for ${name}`, async () => {
+      const { read, clock, queries } = create([late]);
       await read();
       await clock.advance(pause);
       expect(await read()).to.equal(late);
-      expect(asked.length).to.equal(asks);
+      expect(queries.length).to.equal(count);
     });
   }
 
-  it("asks once for requests that come together", async () => {
-    const { read, asked } = create([900]);
+  it("shares one query between concurrent requests", async () => {
+    const { read, queries } = create([900]);
     expect(await Promise.all([read(), read(), read()]))
       .to.deep.equal([900, 900, 900]);
-    expect(asked).to.deep.equal(["pool/1"]);
+    expect(queries).to.deep.equal(["pool/1"]);
   });
 
-  // The feeder was killed. What it said last holds for a moment; then requests
-  // must be let in again, or nobody would ever start the pool's next feeder.
-  it("forgets what a feeder said that does not answer any more", async () => {
+  // The dispatcher is killed. Its last waits are used for a short time; then
+  // requests must be admitted again, so that pieces reach the next dispatcher.
+  it("ignores stale waits of a dispatcher that does not reply", async () => {
     const { read, clock } = create([900, undefined]);
     await read();
     await clock.advance(700);
@@ -56,10 +56,10 @@
     expect(await read()).to.equal(0);
   });
 
-  it("takes what a run of pieces tells", async () => {
-    const { read, waits, asked } = create([0]);
-    waits.note(QUESTION, { onTime: 5, late: 700, growth: 0 });
+  it("returns waits that a run of pieces reported", async () => {
+    const { read, waits, queries } = create([0]);
+    waits.record(QUERY, { onTime: 5, late: 700, growth: 0 });
     expect(await read()).to.equal(700);
-    expect(asked).to.deep.equal([]);
+    expect(queries).to.deep.equal([]);
   });
 });
