--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry keeps for each pool: its dispatcher, its budget of repeats, and
- * the times that its endpoints take.
+ * The components that an entry creates for each pool: its dispatchers, retry
+ * budget, latency model and engine selection.
  *
  * @module
  */
@@ -29,54 +29,55 @@
 import { createStageDispatcher } from "./stage_dispatcher.ts";
 
 /** Options of {@linkcode createPoolParts}. */
-export interface PoolPartsOptions {
+export interface PoolComponentsOptions {
   clock: Clock;
   log: DecisionLog;
   loads: EndpointLoads;
   endpointCheck: EndpointCheck;
   stages: StageEndpoints;
   listUsable: (pool: string) => readonly EndpointInfo[];
-  /** Told of an endpoint whose address has become another's. */
+  /** Marks an endpoint whose address now belongs to another instance. */
   markLeaving: (endpointKey: string) => void;
   noteSignals: NoteSignals;
   allowance: SendAllowance;
-  /** All endpoints that may be listening at an address. */
+  /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
   readTable: () => RouteTable | undefined;
-  /** Frees results of a pool, at whoever feeds it. */
+  /** Releases results of a pool through its dispatcher. */
   releaseInputs: (pool: string, results: readonly string[]) => void;
-  /** Entries that share a pool's budget, with this one. */
+  /** Counts the entries that share a pool's budget, including this one. */
   countEntries: () => number;
-  /** Repeats for each first request. */
+  /** Retries allowed per first attempt. */
   repeatShare: number;
-  /** Repeats beyond the share, over all entries. */
+  /** Retries allowed beyond the share, for all entries together. */
   repeatSlack: number;
 }
 
-/** The parts of all pools, made when they are first needed. */
-export interface PoolParts {
-  /** The dispatcher of one partition of a pool. */
+/** Components of all pools, created on first use. */
+export interface PoolComponents {
+  /** Returns the dispatcher of one partition of a pool. */
   findFeeder(pool: string, partition: string): StageDispatcher;
   findBudget(pool: string): RetryBudget;
   findDelays(pool: string): DelayModel;
   findEngineChoice(pool: string): EngineChoice;
-  /** Lets all dispatchers look again, after endpoints have changed. */
+  /** Makes all dispatchers dispatch again, after endpoints have changed. */
   refreshFeeders(): void;
 }
 
-/** The slack of a budget is shared out among so many entries at least. */
-const LEAST_ENTRIES = 10;
+/** Minimum number of entries among which the slack of a budget is divided. */
+const MIN_ENTRIES = 10;
 /**
- * An entry that has just started knows few others: sharing the slack among
- * those would give a large fleet many times the slack after a restart of all.
+ * Minimum number of entries during discovery. An entry that has just started
+ * knows few others: dividing the slack among those would multiply it in a large
+ * fleet whose entries all restart.
  */
-const UNKNOWN_ENTRIES = 100;
-/** Pieces are repeated at a dispatcher, which may be any entry. */
-const PIECE_REPEAT_SHARE = 0.1;
-const PIECE_REPEAT_SLACK = 10;
+const DISCOVERY_ENTRIES = 100;
+/** Pieces are retried by a dispatcher, which can be any entry. */
+const PIECE_RETRY_SHARE = 0.1;
+const PIECE_RETRY_SLACK = 10;
 
-/** A pool whose specification is not published takes one piece a call. */
-const SINGLE_PIECES = {
+/** Spec of pools without a published one: one piece per call. */
+const UNBATCHED_SPEC = {
   slots: 1,
   maxPieces: 1,
   callTime: 200,
@@ -86,25 +87,27 @@
 };
 
 function readBatchSpec(table: RouteTable | undefined, pool: string) {
-  return table?.findPool(pool)?.batching ?? SINGLE_PIECES;
+  return table?.findPool(pool)?.batching ?? UNBATCHED_SPEC;
 }
 
-/** One part for each pool, made when it is first asked for. */
+/** Returns a lookup that creates the component of each pool on first use. */
 function createPerPool<T>(create: () => T): (pool: string) => T {
-  const parts = new Map<string, T>();
+  const components = new Map<string, T>();
   return (pool) => {
-    const part = parts.get(pool) ?? create();
-    parts.set(pool, part);
-    return part;
+    const component = components.get(pool) ?? create();
+    components.set(pool, component);
+    return component;
   };
 }
 
-/** Creates the parts of no pool yet. */
-export function createPoolParts(options: PoolPartsOptions): PoolParts {
+/** Creates the lookups; components are created on first use. */
+export function createPoolParts(
+  options: PoolComponentsOptions,
+): PoolComponents {
   const { clock, log, loads } = options;
   const dispatchers = new Map<string, StageDispatcher>();
-  const isLearning = createLearningCheck(clock);
-  let mostEntries = LEAST_ENTRIES;
+  const isDiscovering = createLearningCheck(clock);
+  let maxEntries = MIN_ENTRIES;
 
   function findFeeder(pool: string, partition: string): StageDispatcher {
     const key = `${pool}/${partition}`;
@@ -126,26 +129,33 @@
       readSpec: () => readBatchSpec(options.readTable(), pool),
       releaseInputs: options.releaseInputs,
       budget: createRetryBudget({
-        share: PIECE_REPEAT_SHARE,
-        max: PIECE_REPEAT_SLACK,
+        share: PIECE_RETRY_SHARE,
+        max: PIECE_RETRY_SLACK,
       }),
     });
     dispatchers.set(key, dispatcher);
     return dispatcher;
   }
 
-  /** The most entries that were known at a time: some may only be silent. */
-  function countSharers(): number {
-    mostEntries = Math.max(mostEntries, options.countEntries());
-    return isLearning() ? Math.max(UNKNOWN_ENTRIES, mostEntries) : mostEntries;
+  /**
+   * Returns the largest number of entries known at any time: entries
+   * that are missing now may only be unreachable.
+   */
+  function countBudgetEntries(): number {
+    maxEntries = Math.max(maxEntries, options.countEntries());
+    return isDiscovering()
+      ? Math.max(DISCOVERY_ENTRIES, maxEntries)
+      : maxEntries;
   }
 
   const findBudget = createPerPool(() =>
     createRetryBudget({
       share: options.repeatShare,
       max: options.repeatSlack,
-      // One repeat is left to each: what is less than that is never saved up.
-      readPart: () => Math.max(1 / options.repeatSlack, 1 / countSharers()),
+      // At least one retry per entry: a smaller share would never add up to
+      // one.
+      readPart: () =>
+        Math.max(1 / options.repeatSlack, 1 / countBudgetEntries()),
     })
   );
   const findDelays = createPerPool(createDelayModel);
--- a/packages/serving/src/pool_parts_test.ts
+++ b/packages/serving/src/pool_parts_test.ts
@@ -5,10 +5,10 @@
 import { createPoolParts } from "./pool_parts.ts";
 import { createFakeStages, createOpenAllowance } from "./test_support.ts";
 
-describe("parts of pools", () => {
+describe("pool components", () => {
   function create(known: { entries: number }) {
     const clock = createFakeClock(0);
-    const parts = createPoolParts({
+    const components = createPoolParts({
       clock,
       log: createSilentDecisionLog(),
       loads: createEndpointLoads(clock),
@@ -27,39 +27,39 @@
       repeatShare: 0.2,
       repeatSlack: 212,
     });
-    /** Repeats that this entry allows at once. */
-    const countRepeats = () => {
-      const budget = parts.findBudget("pool");
+    /** Counts the retries that this entry allows immediately. */
+    const countRetries = () => {
+      const budget = components.findBudget("pool");
       for (let count = 0; count < 1_000; count++) budget.deposit();
-      let repeats = 0;
-      while (budget.withdraw()) repeats++;
-      return repeats;
+      let retries = 0;
+      while (budget.withdraw()) retries++;
+      return retries;
     };
-    return { clock, countRepeats };
+    return { clock, countRetries };
   }
 
-  // All 86 instances of a site restart while an endpoint fails. Each entry knows
-  // only itself and repeats as if the whole slack of the pool were its own: the
-  // endpoint gets many times the repeats that the operators allow.
-  it("share the slack of repeats before they know each other", () => {
-    const { countRepeats } = create({ entries: 1 });
-    expect(86 * countRepeats()).to.be.at.most(212);
+  // All 86 instances of a site restart while an endpoint fails. If each entry,
+  // which knows only itself, used the complete slack of the pool, the endpoint
+  // would get many times the retries that the operators allow.
+  it("share the slack of the retry budget during discovery", () => {
+    const { countRetries } = create({ entries: 1 });
+    expect(86 * countRetries()).to.be.at.most(212);
   });
 
-  it("share it among all that were ever known", async () => {
+  it("share it among all entries that were ever known", async () => {
     const known = { entries: 86 };
-    const { clock, countRepeats } = create(known);
-    countRepeats();
+    const { clock, countRetries } = create(known);
+    countRetries();
     await clock.advance(6_000);
-    expect(86 * countRepeats()).to.be.at.most(212);
+    expect(86 * countRetries()).to.be.at.most(212);
     known.entries = 3;
-    expect(86 * countRepeats()).to.be.at.most(212);
+    expect(86 * countRetries()).to.be.at.most(212);
   });
 
-  it("leave each its part of the slack in a small fleet", async () => {
-    const { clock, countRepeats } = create({ entries: 8 });
-    countRepeats();
+  it("give each entry its share of the slack in a small fleet", async () => {
+    const { clock, countRetries } = create({ entries: 8 });
+    countRetries();
     await clock.advance(6_000);
-    expect(countRepeats()).to.equal(21);
+    expect(countRetries()).to.equal(21);
   });
 });
--- a/packages/serving/src/signalling_fleet.ts
+++ b/packages/serving/src/signalling_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several entries before endpoints that ask for less or no work, on a fake clock
- * and without sockets. What reaches an endpoint is judged from its side.
+ * Simulates a fleet of entries and endpoints that send back-pressure signals,
+ * on a fake clock and without sockets. Arrivals are recorded at the endpoints.
  *
  * @module
  */
@@ -36,85 +36,87 @@
   createTestTable,
 } from "./test_support.ts";
 
-/** The load and the endpoints of a replay. */
+/** Load and endpoints of a simulation. */
 export interface FleetLoad {
   entries: number;
   endpoints: number;
-  /** Requests a second at all entries together. */
+  /** Requests per second, for all entries together. */
   perSecond: number;
   duration: Millis;
-  /** The entries that one knows of; all if left out. */
+  /** Lists the entries that an entry knows; all of them by default. */
   listKnown?: (
     entry: number,
     records: readonly PeerRecord[],
   ) => readonly PeerRecord[];
-  /** What an endpoint says in an answer at a time. */
+  /** Returns the signals in a reply of an endpoint at a time. */
   readSignals: (endpoint: number, now: Millis) => EndpointSignals;
 }
 
-/** A request as it reached an endpoint. */
+/** A request as it arrived at an endpoint. */
 export interface FleetArrival {
   endpoint: number;
   entry: number;
   at: Millis;
-  /** When its caller sent it. */
+  /** Time at which the caller sent it. */
   sentAt: Millis;
-  /** What the endpoint had told this entry by then, in order. */
-  told: readonly ToldSignals[];
+  /** Signals that the endpoint had reported to this entry before, in order. */
+  told: readonly ReportedSignals[];
 }
 
-/** Signals as an endpoint told them to an entry. */
-export interface ToldSignals extends EndpointSignals {
+/** Signals that an endpoint reported to an entry. */
+export interface ReportedSignals extends EndpointSignals {
   at: Millis;
 }
 
-/** What a replay showed. */
-export interface FleetReplay {
+/** Results of a simulation. */
+export interface FleetResult {
   arrivals: readonly FleetArrival[];
   sent: number;
   served: number;
   refusals: readonly FleetRefusal[];
 }
 
-/** A refusal as its caller got it. */
+/** A refusal as the caller receives it. */
 export interface FleetRefusal {
   at: Millis;
   took: Millis;
-  /** When the caller is asked to come back; 0 if it is not told. */
+  /** Delay after which the caller may retry; 0 if the refusal names none. */
   retryAfter: Millis;
 }
 
-/** Endpoints that speak, the first `count` of them, for a while. */
-export interface SignalPlan {
+/** The period in which the first `count` endpoints send signals. */
+export interface SignalPeriod {
   count: number;
   from: Millis;
-  /** They speak to the end if it is left out. */
+  /** Defaults to the end of the simulation. */
   until?: Millis;
 }
 
 const STEP: Millis = 10;
 const MILLIS_PER_SECOND = 1_000;
 const WORK_TIME: Millis = 60;
-/** How many requests come again, at any entry, after a refusal. */
-const COMES_AGAIN_SHARE = 0.5;
-const COMES_AGAIN_AFTER: Millis = 300;
+/** Share of refused requests that are retried once, at any entry. */
+const RETRY_SHARE = 0.5;
+const RETRY_DELAY: Millis = 300;
 const EXCHANGE_INTERVAL: Millis = 500;
-/** What one message carries of limits. */
-const MAX_NEWS = 16;
+/** Limit updates per gossip message. */
+const MAX_UPDATES = 16;
 
-/** Lets the first endpoints say the same in each answer for a while. */
+/**
+ * Makes the first endpoints send the same signals in every reply of a period.
+ */
 export function createSignals(
-  { count, from, until = Infinity }: SignalPlan,
+  { count, from, until = Infinity }: SignalPeriod,
   signals: EndpointSignals,
 ): FleetLoad["readSignals"] {
   return (endpoint, now) =>
     endpoint < count && now >= from && now < until ? signals : {};
 }
 
-/** Runs a load to its end. */
+/** Runs a simulation to its end. */
 export async function runSignallingFleet(
   load: FleetLoad,
-): Promise<FleetReplay> {
+): Promise<FleetResult> {
   const clock = createFakeClock(0);
   const engine = new Random(MersenneTwister19937.seed(load.entries));
   const random = () => engine.real(0, 1);
@@ -124,10 +126,10 @@
   );
   const arrivals: FleetArrival[] = [];
   const refusals: FleetRefusal[] = [];
-  const replay = { sent: 0, served: 0 };
+  const totals = { sent: 0, served: 0 };
   const states = createEntries(load, { clock, random, infos, arrivals });
 
-  async function send(mayComeAgain: boolean): Promise<void> {
+  async function send(mayRetry: boolean): Promise<void> {
     const state = states[engine.integer(0, states.length - 1)]!;
     state.configAge.noteConfirmed(state.configAge.readTime());
     const receivedAt = clock.now();
@@ -136,15 +138,15 @@
       const at = clock.now();
       refusals.push({ at, took: at - receivedAt, retryAfter });
     };
-    const head = createTestHead({ id: `request-${replay.sent}` });
+    const head = createTestHead({ id: `request-${totals.sent}` });
     await serveRequest(state, {
       request: { head, body: Buffer.from(String(receivedAt)) },
       response,
       receivedAt,
     });
-    if (seen[0]?.startsWith("200")) replay.served++;
-    else if (mayComeAgain && random() < COMES_AGAIN_SHARE) {
-      await clock.sleep(COMES_AGAIN_AFTER);
+    if (seen[0]?.startsWith("200")) totals.served++;
+    else if (mayRetry && random() < RETRY_SHARE) {
+      await clock.sleep(RETRY_DELAY);
       await send(false);
     }
   }
@@ -153,14 +155,14 @@
   while (clock.now() < load.duration) {
     await clock.advance(STEP);
     const due = load.perSecond * clock.now() / MILLIS_PER_SECOND;
-    for (; replay.sent < due; replay.sent++) pending.push(send(true));
+    for (; totals.sent < due; totals.sent++) pending.push(send(true));
   }
-  await clock.advance(2 * COMES_AGAIN_AFTER + 4 * WORK_TIME);
+  await clock.advance(2 * RETRY_DELAY + 4 * WORK_TIME);
   await Promise.all(pending);
-  return { ...replay, arrivals, refusals };
+  return { ...totals, arrivals, refusals };
 }
 
-interface FleetParts {
+interface EntryOptions {
   clock: FakeClock;
   random: () => number;
   infos: readonly EndpointInfo[];
@@ -169,7 +171,7 @@
 
 function createEntries(
   load: FleetLoad,
-  { clock, random, infos, arrivals }: FleetParts,
+  { clock, random, infos, arrivals }: EntryOptions,
 ): ServingState[] {
   const table = createTestTable([createTestRoute({ isPublic: true })]);
   const records = Array.from(
@@ -181,7 +183,7 @@
   function createEntry(_: unknown, entry: number): ServingState {
     const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
     directory.replaceAll(infos);
-    const toldBy = new Map<number, ToldSignals[]>();
+    const reportedBy = new Map<number, ReportedSignals[]>();
     const callEndpoint: CallEndpoint = async ({ endpoint, request }) => {
       const number = infos.findIndex(({ id }) => id === endpoint.id);
       arrivals.push({
@@ -189,17 +191,17 @@
         entry,
         at: clock.now(),
         sentAt: Number(request.body),
-        told: [...toldBy.get(number) ?? []],
+        told: [...reportedBy.get(number) ?? []],
       });
-      const isTurnedAway =
+      const isRefused =
         load.readSignals(number, clock.now()).pause !== undefined;
-      await clock.sleep(isTurnedAway ? 1 : WORK_TIME);
+      await clock.sleep(isRefused ? 1 : WORK_TIME);
       const signals = load.readSignals(number, clock.now());
       if (Object.keys(signals).length > 0) {
-        const told = toldBy.get(number) ?? [];
-        toldBy.set(number, [...told, { ...signals, at: clock.now() }]);
+        const reported = reportedBy.get(number) ?? [];
+        reportedBy.set(number, [...reported, { ...signals, at: clock.now() }]);
       }
-      return isTurnedAway
+      return isRefused
         ? Result.ok<EndpointAnswer, HttpFault>({
           kind: "not_run",
           reason: "full",
@@ -243,18 +245,18 @@
     return state;
   }
 
-  /** Each entry exchanges news with one other, drawn at random. */
-  function exchangeNews(): void {
+  /** Each entry exchanges limit updates with one other, chosen at random. */
+  function exchangeUpdates(): void {
     for (const { limits } of allowances) {
       const index = Math.floor(random() * allowances.length);
       const partner = allowances[index]!.limits;
-      limits.chooseNews(MAX_NEWS).forEach(partner.takeNews);
-      partner.chooseNews(MAX_NEWS).forEach(limits.takeNews);
+      limits.chooseNews(MAX_UPDATES).forEach(partner.takeNews);
+      partner.chooseNews(MAX_UPDATES).forEach(limits.takeNews);
     }
-    clock.startTimer(EXCHANGE_INTERVAL, exchangeNews);
+    clock.startTimer(EXCHANGE_INTERVAL, exchangeUpdates);
   }
 
   const states = Array.from({ length: load.entries }, createEntry);
-  exchangeNews();
+  exchangeUpdates();
   return states;
 }
--- a/packages/serving/src/signalling_maker_test.ts
+++ b/packages/serving/src/stage_back_pressure_test.ts
@@ -39,28 +39,28 @@
   };
 }
 
-/** How the first of two makers answers. */
-interface MakerReplay {
+/** Replies of the first of two endpoints. */
+interface ReplayOptions {
   duration: Millis;
-  /** Its signals beside the results; it turns calls away while it pauses. */
+  /** Signals in its replies; it refuses calls while it requests a pause. */
   readSignals: (now: Millis) => EndpointSignals;
 }
 
-/** Feeds two makers; returns what reached the first. */
-async function replayMakers({ duration, readSignals }: MakerReplay) {
+/** Dispatches to two endpoints; returns what arrived at the first. */
+async function replayEndpoints({ duration, readSignals }: ReplayOptions) {
   const clock = createFakeClock(0);
-  const makers = [createTestEndpoint("first"), createTestEndpoint("other")];
+  const endpoints = [createTestEndpoint("first"), createTestEndpoint("other")];
   const { allowance, limits, pauses } = createEntryAllowance({
     clock,
     random: () => 0.5,
     entry: "entry",
     listMembers: () => [createTestPeer("entry")],
-    directory: { listUsable: () => makers },
+    directory: { listUsable: () => endpoints },
     isFed: () => true,
   });
   const { dispatcher, stages } = createTestDispatcher(
     clock,
-    makers,
+    endpoints,
     undefined,
     {
       allowance,
@@ -74,9 +74,9 @@
       }),
     },
   );
-  /** Times of calls and releases that reached it. */
+  /** Times at which calls and releases arrived. */
   const arrivals: Millis[] = [];
-  /** When it asked for pauses. */
+  /** Times at which it requested pauses. */
   const pausedAt: Millis[] = [];
   const release = stages.release;
   stages.release = (address, results) => {
@@ -116,10 +116,10 @@
   return { arrivals, pausedAt };
 }
 
-describe("a maker of pieces", () => {
-  // Calls and releases reach it as often as if it had named none.
-  it("that names a limit gets no more calls and releases", async () => {
-    const { arrivals } = await replayMakers({
+describe("a stage endpoint", () => {
+  // Without this, calls and releases would ignore the limit of the endpoint.
+  it("that reports a limit gets no more calls and releases", async () => {
+    const { arrivals } = await replayEndpoints({
       duration: 30 * SECOND,
       readSignals: () => ({ rateLimit: LIMIT }),
     });
@@ -130,14 +130,14 @@
       ),
     );
     expect(most).to.be.at.most(ALLOWED);
-    // It is used all the same, for what it takes.
+    // The endpoint is still used, up to its limit.
     expect(settled.length).to.be.at.least(27 * LIMIT / 3);
   });
 
-  // A full maker was called again after 150 ms, for as long as it was full, and
-  // results that it had made before were freed there.
-  it("that asks for a pause gets nothing meanwhile", async () => {
-    const { arrivals, pausedAt } = await replayMakers({
+  // Without this, an endpoint that is full would be called again after 150 ms,
+  // and would get the releases of its earlier results.
+  it("that requests a pause gets no calls and releases during it", async () => {
+    const { arrivals, pausedAt } = await replayEndpoints({
       duration: 20 * SECOND,
       readSignals: (now) =>
         now >= 5 * SECOND && now < 15 * SECOND ? { pause: PAUSE } : {},
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -1,5 +1,5 @@
 /**
- * Small fakes of serving's handles, for its tests.
+ * Fakes and fixtures for the tests of this package.
  *
  * @module
  */
@@ -41,7 +41,7 @@
 import type { StageDispatcherOptions } from "./stage_dispatcher.ts";
 import { createStageDispatcher } from "./stage_dispatcher.ts";
 
-/** An endpoint with its id as address. */
+/** Creates a live endpoint whose address is its id. */
 export function createTestEndpoint(
   id: string,
   change: Partial<EndpointInfo> = {},
@@ -57,7 +57,7 @@
   };
 }
 
-/** The record of a live entry; its addresses are its name. */
+/** Creates the record of a live entry whose addresses are its name. */
 export function createTestPeer(entry: string): PeerRecord {
   return {
     entry,
@@ -75,7 +75,7 @@
   };
 }
 
-/** A route of one pool. */
+/** Creates a route to one pool. */
 export function createTestRoute(change: Partial<Route> = {}): Route {
   return {
     name: "route",
@@ -94,7 +94,7 @@
   };
 }
 
-/** The configuration with these routes, and no pools. */
+/** Creates a configuration with these routes and no pools. */
 export function createTestTable(
   routes: readonly Route[],
   accounts?: ServingConfig["accounts"],
@@ -113,7 +113,7 @@
   });
 }
 
-/** A caller's head. */
+/** Creates a request head. */
 export function createTestHead(change: Partial<RequestHead> = {}): RequestHead {
   return {
     id: "request-1",
@@ -130,12 +130,12 @@
   };
 }
 
-/** Where a topic is read on, in the first era unless another is named. */
+/** Creates a topic position; the default is the first era. */
 export function createPosition(offset: number, era = 0): TopicPosition {
   return { era, offset };
 }
 
-/** An answer whose body comes in these chunks, and breaks after them. */
+/** Creates a reply with these body chunks, followed by an error if broken. */
 export function createTestReply(
   chunks: readonly string[],
   { status = 200, isBroken = false } = {},
@@ -153,22 +153,22 @@
   };
 }
 
-/** Stage endpoints whose calls end when the test says so. */
+/** Stage endpoints whose calls are ended by the test. */
 export interface FakeStages extends StageEndpoints {
   readonly calls: FakeStageCall[];
   readonly released: string[];
 }
 
-/** A call that waits for its end. */
+/** A call in progress. */
 export interface FakeStageCall extends StageCall {
-  /** Ends it with results named after endpoint, request, stage and piece. */
+  /** Completes all pieces; results are named `endpoint/request.stage.piece`. */
   finish(): void;
   end(reply: StageReply): void;
-  /** Ends it without an answer. */
+  /** Ends the call without a reply. */
   breakOff(sent: "no" | "maybe"): void;
 }
 
-/** Creates stage endpoints without any call. */
+/** Creates stage endpoints without calls. */
 export function createFakeStages(): FakeStages {
   const calls: FakeStageCall[] = [];
   const released: string[] = [];
@@ -201,7 +201,7 @@
   };
 }
 
-/** The specification of the pool that test feeders feed. */
+/** Batch spec of the pool of test dispatchers. */
 export const TEST_SPEC = {
   slots: 1,
   maxPieces: 4,
@@ -211,7 +211,7 @@
   resultLifetime: 4_000,
 };
 
-/** A dispatcher before fake stage endpoints. */
+/** Creates a dispatcher with fake stage endpoints. */
 export function createTestDispatcher(
   clock: FakeClock,
   endpoints: readonly EndpointInfo[],
@@ -221,9 +221,9 @@
   > = {},
 ) {
   const stages = createFakeStages();
-  /** Keys of endpoints that said they are another one. */
-  const left = new Set<string>();
-  /** Inputs that endpoints have fetched. */
+  /** Keys of endpoints whose address belongs to another instance. */
+  const leaving = new Set<string>();
+  /** Inputs that were released after endpoints had fetched them. */
   const fetched: string[] = [];
   const dispatcher = createStageDispatcher({
     clock,
@@ -232,13 +232,13 @@
     stages,
     loads: createEndpointLoads(clock),
     listEndpoints: () =>
-      endpoints.filter((endpoint) => !left.has(formatEndpointKey(endpoint))),
-    markLeaving: (endpointKey) => left.add(endpointKey),
+      endpoints.filter((endpoint) => !leaving.has(formatEndpointKey(endpoint))),
+    markLeaving: (endpointKey) => leaving.add(endpointKey),
     handleSignals: options.handleSignals ?? (() => {}),
     allowance: options.allowance ?? createOpenAllowance(),
     listAt: (address) =>
       endpoints.filter((endpoint) => endpoint.address === address),
-    // A fake call breaks off only because its maker has ended.
+    // A fake call ends without a reply only if its endpoint has crashed.
     endpointCheck: { checkCondition: () => Promise.resolve("ended") },
     readSpec: () => TEST_SPEC,
     budget,
@@ -247,7 +247,7 @@
   return { dispatcher, stages, fetched };
 }
 
-/** What the caller of a test got, in order. */
+/** Creates a response that records what the caller receives, in order. */
 export function createRecordedResponse() {
   const seen: string[] = [];
   const response: CallerResponse = {
@@ -264,7 +264,7 @@
   return { response, seen };
 }
 
-/** An allowance that bounds nothing. */
+/** Creates an allowance without limits. */
 export function createOpenAllowance(): SendAllowance {
   return {
     mayBegin: () => true,
@@ -276,7 +276,7 @@
   };
 }
 
-/** What an entry knows that has no endpoints, no peers and no stages. */
+/** Creates the state of an entry without endpoints, peers and stages. */
 export function createTestState(
   clock: FakeClock,
   change: Partial<ServingState>,
