--- a/packages/serving/src/crashing_piece_test.ts
+++ b/packages/serving/src/crashing_piece_test.ts
@@ -42,7 +42,7 @@
         requestId === CRASHING
       );
       if (isCrashing) crashed.push(call.endpoint.id);
-      if (isCrashing) call.breakOff("maybe");
+      if (isCrashing) call.disconnect("maybe");
       else call.finish();
       await clock.advance(CALL_TIME);
     }
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Returns the largest number of entries known at any time: entries
-   * that are missing now may only be unreachable.
+   * Returns the largest number of entries known at any time: entries that are
+   * missing now may only be unreachable.
    */
   function countBudgetEntries(): number {
     maxEntries = Math.max(maxEntries, options.countEntries());
--- a/packages/serving/src/result_storage.ts
+++ b/packages/serving/src/result_storage.ts
@@ -71,7 +71,7 @@
 
   return {
     addUsed,
-    add: (result, kept) => void stored.set(result, kept),
+    add: (result, details) => void stored.set(result, details),
     remove,
     removeExpired,
     readUsed,
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -448,9 +448,9 @@
     for (const [address, list] of byProducer) {
       // A release counts against the endpoint's limit like any other request.
       // Results that are not released expire.
-      const isHeldBack = options.listAt(address)
+      const isThrottled = options.listAt(address)
         .some(options.allowance.isHeldBack);
-      if (isHeldBack) continue;
+      if (isThrottled) continue;
       list.forEach(storage.remove);
       void releaseAt(address, list);
     }
@@ -462,10 +462,10 @@
     results: readonly string[],
   ): Promise<void> {
     const sentAt = clock.now();
-    const answer = await stages.release(address, results);
+    const reply = await stages.release(address, results);
     options.handleSignals(
       { way: "stage_release", to: address, sentAt },
-      answer,
+      reply,
     );
   }
 
--- a/packages/serving/src/stage_dispatcher_test.ts
+++ b/packages/serving/src/stage_dispatcher_test.ts
@@ -151,7 +151,7 @@
       const { dispatcher, stages, signal } = create("e1", "e2");
       const run = dispatcher.run(createRun("a", 1), signal);
       const [call] = stages.calls;
-      if (typeof end === "string") call?.breakOff(end);
+      if (typeof end === "string") call?.disconnect(end);
       else call?.end(end);
       await settlePromises();
       expect(stages.calls[1]?.endpoint.id).not.to.equal(call?.endpoint.id);
@@ -238,7 +238,7 @@
     for (let index = 0; index < 100; index++) {
       const run = dispatcher.run(createRun(`r${index}`, 1), signal);
       if (index % 12 === 0) {
-        stages.calls.at(-1)?.breakOff("maybe");
+        stages.calls.at(-1)?.disconnect("maybe");
         await settlePromises();
       }
       stages.calls.at(-1)?.finish();
--- a/packages/serving/src/stage_graph_test.ts
+++ b/packages/serving/src/stage_graph_test.ts
@@ -117,8 +117,8 @@
     expect(released).to.deep.equal(["1.0", "1.1"]);
   });
 
-  // If results of intermediate stages counted as moved, a piece whose result has
-  // megabytes would wait for the place of an input of a few bytes. The next
+  // If results of intermediate stages counted as moved, a piece whose result
+  // has megabytes would wait for the place of an input of a few bytes. The next
   // stage runs in the place that stores them, so they do not move.
   it("counts a result as moved only if the engine fetches it", async () => {
     const { stage, finish } = create([1, 2, 1, 1]);
@@ -173,8 +173,8 @@
     expect((await outcome).isErr).to.equal(true);
   });
 
-  // The dispatcher releases inputs as soon as they are fetched. A second release
-  // would double the release calls to their endpoints.
+  // The dispatcher releases inputs as soon as they are fetched. A second
+  // release would double the release calls to their endpoints.
   it("does not release inputs that the dispatcher has released", async () => {
     const { finish, released, stage } = create([0, 1, 1, 1], {
       freedInputs: true,
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -165,7 +165,7 @@
   finish(): void;
   end(reply: StageReply): void;
   /** Ends the call without a reply. */
-  breakOff(sent: "no" | "maybe"): void;
+  disconnect(sent: "no" | "maybe"): void;
 }
 
 /** Creates stage endpoints without calls. */
@@ -189,7 +189,7 @@
                 result: `${call.endpoint.id}/${requestId}.${stage}.${piece}`,
               })),
             }),
-          breakOff: (sent) =>
+          disconnect: (sent) =>
             resolve(Result.err({ kind: "cut", sent, message: "cut" })),
         });
       }),
