--- a/packages/coordination/src/strong_members_test.ts
+++ b/packages/coordination/src/high_capacity_members_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { listStrong } from "./strong_members.ts";
+import { listStrong } from "./high_capacity_members.ts";
 
 describe("high-capacity members", () => {
   const CASES = [
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -7,7 +7,7 @@
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import { drawSome } from "./draw.ts";
-import { listStrong } from "./strong_members.ts";
+import { listStrong } from "./high_capacity_members.ts";
 
 /** The state that an entry publishes about itself. */
 export interface PeerRecord {
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -97,8 +97,8 @@
   PlaceEvacuationOptions,
 } from "./place_evacuation.ts";
 export { createPlaceEvacuation } from "./place_evacuation.ts";
-export type { VersionWatch } from "./version_watch.ts";
-export { createVersionWatch } from "./version_watch.ts";
+export type { VersionWatch } from "./peer_version_tracker.ts";
+export { createVersionWatch } from "./peer_version_tracker.ts";
 export type { ColdEndpoints } from "./cold_endpoints.ts";
 export { createColdEndpoints } from "./cold_endpoints.ts";
 export type { ColdAllowance, ColdAllowanceOptions } from "./cold_allowance.ts";
@@ -229,7 +229,7 @@
   EndpointRosterOptions,
 } from "./endpoint_roster.ts";
 export { createEndpointRoster } from "./endpoint_roster.ts";
-export { listStrong } from "./strong_members.ts";
+export { listStrong } from "./high_capacity_members.ts";
 export { computeHash, listByRendezvous, listNearFirst } from "./rendezvous.ts";
 export { drawSome } from "./draw.ts";
 export type {
@@ -242,7 +242,7 @@
 export { createPieceBatcher } from "./piece_batcher.ts";
 export type { CallerElapsed } from "./caller_elapsed.ts";
 export { createCallerElapsed } from "./caller_elapsed.ts";
-export type { FlowForecast, PieceFlow, PieceWaits } from "./piece_flow.ts";
+export type { FlowForecast, PieceFlow, PieceWaits } from "./piece_rates.ts";
 export {
   chooseOverflow,
   choosePartition,
@@ -252,7 +252,7 @@
   OVERFLOW_WAIT,
   WHOLE_POOL,
 } from "./pool_partition.ts";
-export { createPieceFlow } from "./piece_flow.ts";
+export { createPieceFlow } from "./piece_rates.ts";
 export type { EngineChoice, EngineView, PromptPart } from "./engine_choice.ts";
 export { createEngineChoice } from "./engine_choice.ts";
 export type { PlannedStage } from "./stage_plan.ts";
--- a/packages/coordination/src/version_watch_test.ts
+++ b/packages/coordination/src/peer_version_tracker_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createVersionWatch } from "./version_watch.ts";
+import { createVersionWatch } from "./peer_version_tracker.ts";
 
 describe("a store that is behind the peers", () => {
   // Some peer reads a new version first, as in any change; the next read of the
--- a/packages/coordination/src/piece_batcher.ts
+++ b/packages/coordination/src/piece_batcher.ts
@@ -18,8 +18,8 @@
  */
 import type { Millis } from "@mangoreach/shared";
 import type { EndpointInfo } from "./endpoint.ts";
-import { listNearWaiting } from "./near_place.ts";
-import type { FlowForecast, PieceWaits } from "./piece_flow.ts";
+import { listNearWaiting } from "./locality_wait.ts";
+import type { FlowForecast, PieceWaits } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /** The pieces of one stage of one request. */
--- a/packages/coordination/src/piece_batcher_replay_test.ts
+++ b/packages/coordination/src/piece_batcher_replay_test.ts
@@ -3,7 +3,7 @@
 import { MersenneTwister19937, Random } from "random-js";
 import type { BatchEndpoint, WaitingPiece } from "./piece_batcher.ts";
 import { createPieceBatcher } from "./piece_batcher.ts";
-import { createPieceFlow } from "./piece_flow.ts";
+import { createPieceFlow } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /**
--- a/packages/coordination/src/piece_flow_test.ts
+++ b/packages/coordination/src/piece_rates_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createPieceFlow } from "./piece_flow.ts";
+import { createPieceFlow } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /** One endpoint serves 10 pieces a second. */
--- a/packages/coordination/src/pool_partition.ts
+++ b/packages/coordination/src/pool_partition.ts
@@ -15,7 +15,7 @@
 import type { EndpointInfo } from "./endpoint.ts";
 import type { PeerRecord } from "./membership.ts";
 import { listByRendezvous, listNearFirst } from "./rendezvous.ts";
-import { listStrong } from "./strong_members.ts";
+import { listStrong } from "./high_capacity_members.ts";
 
 /**
  * Minimum average number of endpoints per place for a pool to be partitioned: a
