--- a/packages/coordination/src/high_capacity_members.ts
+++ b/packages/coordination/src/high_capacity_members.ts
@@ -6,7 +6,7 @@
  */
 
 /** Minimum capacity, as a share of the largest. */
-const STRONG_SHARE = 0.6;
+const MIN_CAPACITY_SHARE = 0.6;
 
 /** Returns the members whose capacity is near the largest. */
 export function listStrong<T>(
@@ -15,6 +15,6 @@
 ): T[] {
   const largest = Math.max(0, ...members.map(readCapacity));
   return members.filter((member) =>
-    readCapacity(member) >= STRONG_SHARE * largest
+    readCapacity(member) >= MIN_CAPACITY_SHARE * largest
   );
 }
--- a/packages/coordination/src/high_capacity_members_test.ts
+++ b/packages/coordination/src/high_capacity_members_test.ts
@@ -8,10 +8,10 @@
     { members: [0.3, 1.35, 0.3, 1.2], strong: [1.35, 1.2] },
     { members: [0.3, 0.2, 0.1], strong: [0.3, 0.2] },
   ];
-  for (const { members, strong } of CASES) {
+  for (const { members, strong: expected } of CASES) {
     it(`of ${members.join(", ") || "none"} are those near the largest`, () => {
       expect(listStrong(members, (capacity) => capacity))
-        .to.deep.equal(strong);
+        .to.deep.equal(expected);
     });
   }
 });
--- a/packages/coordination/src/locality_wait.ts
+++ b/packages/coordination/src/locality_wait.ts
@@ -19,7 +19,7 @@
  */
 const LARGE_TRANSFER = 200_000;
 
-interface PlaceState {
+interface PlaceQueue {
   freeAt: Millis;
   endpoints: number;
   /** Pieces that wait for this place ahead of the next one. */
@@ -29,7 +29,7 @@
 /**
  * Returns the pieces that may wait for their own place; `waiting` is in order.
  */
-export function listNearWaiting<P extends WaitingPiece>(
+export function listLocalityWaiting<P extends WaitingPiece>(
   waiting: readonly P[],
   { endpoints, now, spec }: {
     endpoints: readonly BatchEndpoint[];
@@ -37,26 +37,26 @@
     spec: BatchSpec;
   },
 ): Set<P> {
-  const places = createPlaceStates(endpoints);
+  const places = createPlaceQueues(endpoints);
   const fullCall = computeFullCall(spec);
   const chosen = new Set<P>();
   for (const piece of waiting) {
-    const state = places.get(piece.place ?? "");
-    if (state === undefined || piece.movedBytes < LARGE_TRANSFER) continue;
-    const perRound = state.endpoints * spec.slots * spec.maxPieces;
-    const rounds = Math.floor(state.ahead / perRound);
-    const startsAt = Math.max(now, state.freeAt) + rounds * fullCall;
+    const queue = places.get(piece.place ?? "");
+    if (queue === undefined || piece.movedBytes < LARGE_TRANSFER) continue;
+    const perRound = queue.endpoints * spec.slots * spec.maxPieces;
+    const rounds = Math.floor(queue.ahead / perRound);
+    const startsAt = Math.max(now, queue.freeAt) + rounds * fullCall;
     if (startsAt + fullCall >= piece.onTimeAt) continue;
-    state.ahead++;
+    queue.ahead++;
     chosen.add(piece);
   }
   return chosen;
 }
 
-function createPlaceStates(
+function createPlaceQueues(
   endpoints: readonly BatchEndpoint[],
-): Map<string, PlaceState> {
-  const places = new Map<string, PlaceState>();
+): Map<string, PlaceQueue> {
+  const places = new Map<string, PlaceQueue>();
   for (const { info, freeAt } of endpoints) {
     const known = places.get(info.place);
     places.set(info.place, {
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -78,7 +78,7 @@
 export interface Membership {
   readonly self: PeerRecord;
   /** Updates the record of this entry and increments its heartbeat. */
-  beat(change: Partial<Pick<PeerRecord, OwnChange>>): void;
+  beat(change: Partial<Pick<PeerRecord, SelfUpdate>>): void;
   /**
    * Merges records of peers; returns those that were newer than the known ones.
    */
@@ -108,7 +108,7 @@
   choosePartner(): PeerRecord | undefined;
 }
 
-type OwnChange =
+type SelfUpdate =
   | "state"
   | "configVersion"
   | "inFlight"
@@ -122,11 +122,11 @@
 
 const OTHER_PLACE_SHARE = 0.3;
 /** Lost peers are contacted at this rate so that a network partition heals. */
-const LOST_PARTNER_SHARE = 0.1;
+const LOST_PEER_SHARE = 0.1;
 /** High-capacity entries whose records are part of every message. */
-const MAX_STRONG_RECORDS = 8;
+const MAX_HIGH_CAPACITY_RECORDS = 8;
 /** How long a suspicion is forwarded. */
-const SUSPICION_LIFETIME: Millis = 5_000;
+const SUSPICION_TTL: Millis = 5_000;
 /** A peer is removed after this many times `loseAfter` without a heartbeat. */
 const FORGET_FACTOR = 30;
 
@@ -134,12 +134,18 @@
 export function createMembership(
   options: MembershipOptions,
 ): Membership {
-  const { clock, self, random, suspectAfter, loseAfter } = options;
-  const { scalePatience = () => 1 } = options;
+  const {
+    clock,
+    self,
+    random,
+    suspectAfter: suspectTimeout,
+    loseAfter: lostTimeout,
+  } = options;
+  const { scalePatience: computeTimeoutFactor = () => 1 } = options;
   const peers = new Map<string, KnownPeer>();
   let own = self;
 
-  function beat(change: Partial<Pick<PeerRecord, OwnChange>>): void {
+  function updateSelf(change: Partial<Pick<PeerRecord, SelfUpdate>>): void {
     own = { ...own, ...change, heartbeat: own.heartbeat + 1 };
   }
 
@@ -147,16 +153,17 @@
     return records.filter(mergeRecord);
   }
 
-  function mergeDoubtful(records: readonly PeerRecord[]): PeerRecord[] {
+  function mergeUnverified(records: readonly PeerRecord[]): PeerRecord[] {
     const added = records.filter(mergeRecord);
-    const seenAt = clock.now() - scalePatience(peers.size) * suspectAfter;
+    const seenAt = clock.now() -
+      computeTimeoutFactor(peers.size) * suspectTimeout;
     for (const record of added) peers.set(record.entry, { record, seenAt });
     return added;
   }
 
   function mergeRecord(record: PeerRecord): boolean {
     if (record.entry === own.entry) {
-      outrank(record);
+      advanceStartedAt(record);
       return false;
     }
     const known = peers.get(record.entry);
@@ -188,7 +195,7 @@
     const recent = [...peers.values()].flatMap((peer) => {
       const { record: { incarnation }, suspected } = peer;
       if (suspected === undefined || !isSuspected(peer)) return [];
-      if (now - suspected.at > SUSPICION_LIFETIME) return [];
+      if (now - suspected.at > SUSPICION_TTL) return [];
       return [{ incarnation, heartbeat: suspected.heartbeat }];
     });
     return drawSome(recent, { count: limit, random });
@@ -199,7 +206,7 @@
    * start time it would then seem older than its predecessor, and peers would
    * ignore its records.
    */
-  function outrank({ incarnation, startedAt }: PeerRecord): void {
+  function advanceStartedAt({ incarnation, startedAt }: PeerRecord): void {
     if (incarnation === own.incarnation || startedAt < own.startedAt) return;
     own = { ...own, startedAt: startedAt + 1 };
   }
@@ -209,20 +216,20 @@
     const views: PeerView[] = [];
     for (const [entry, peer] of peers) {
       const age = now - peer.seenAt;
-      if (age > FORGET_FACTOR * loseAfter) peers.delete(entry);
+      if (age > FORGET_FACTOR * lostTimeout) peers.delete(entry);
       else {views.push({
           record: peer.record,
           age,
-          health: judgeHealth(peer, age),
+          health: computeHealth(peer, age),
         });}
     }
     return views;
   }
 
-  function judgeHealth(peer: KnownPeer, age: Millis): PeerHealth {
-    const patience = scalePatience(peers.size);
-    if (age >= patience * loseAfter) return "lost";
-    const isSilent = age >= patience * suspectAfter;
+  function computeHealth(peer: KnownPeer, age: Millis): PeerHealth {
+    const timeoutFactor = computeTimeoutFactor(peers.size);
+    if (age >= timeoutFactor * lostTimeout) return "lost";
+    const isSilent = age >= timeoutFactor * suspectTimeout;
     return isSilent || isSuspected(peer) ? "suspected" : "alive";
   }
 
@@ -236,25 +243,27 @@
     const known = list()
       .filter(({ health }) => health !== "lost")
       .map(({ record }) => record);
-    const strong = listStrong(known, ({ capacity }) => capacity);
-    const isMixed = strong.length < known.length;
+    const highCapacity = listStrong(known, ({ capacity }) => capacity);
+    const isMixed = highCapacity.length < known.length;
     const always = new Set(
-      isMixed ? drawSome(strong, { count: MAX_STRONG_RECORDS, random }) : [],
+      isMixed
+        ? drawSome(highCapacity, { count: MAX_HIGH_CAPACITY_RECORDS, random })
+        : [],
     );
     const others = known.filter((record) => !always.has(record));
     return [own, ...always, ...drawSome(others, { count: limit - 1, random })];
   }
 
-  function choosePartner(): PeerRecord | undefined {
+  function choosePeer(): PeerRecord | undefined {
     const views = list();
-    const isLostTurn = random() < LOST_PARTNER_SHARE;
+    const shouldTryLost = random() < LOST_PEER_SHARE;
     const usable = views.filter(({ health }) =>
-      (health === "lost") === isLostTurn
+      (health === "lost") === shouldTryLost
     );
     const candidates = usable.length > 0 ? usable : views;
-    const wantsOther = random() < OTHER_PLACE_SHARE;
+    const prefersOtherPlace = random() < OTHER_PLACE_SHARE;
     const preferred = candidates.filter(({ record }) =>
-      (record.place !== own.place) === wantsOther
+      (record.place !== own.place) === prefersOtherPlace
     );
     const from = preferred.length > 0 ? preferred : candidates;
     return from[Math.floor(random() * from.length)]?.record;
@@ -264,14 +273,14 @@
     get self() {
       return own;
     },
-    beat,
+    beat: updateSelf,
     merge,
-    mergeDoubtful,
+    mergeDoubtful: mergeUnverified,
     markSuspected,
     chooseSuspicions,
     list,
     chooseRecords,
-    choosePartner,
+    choosePartner: choosePeer,
   };
 }
 
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -29,8 +29,8 @@
   parseRequestId,
 } from "./request_id.ts";
 export type {
-  BeginOutcome,
-  ForbidOutcome,
+  BeginResult,
+  ForbidResult,
   OutcomeTable,
   OutcomeTableOptions,
   OwnedRun,
@@ -97,7 +97,7 @@
   PlaceEvacuationOptions,
 } from "./place_evacuation.ts";
 export { createPlaceEvacuation } from "./place_evacuation.ts";
-export type { VersionWatch } from "./peer_version_tracker.ts";
+export type { PeerVersionTracker } from "./peer_version_tracker.ts";
 export { createVersionWatch } from "./peer_version_tracker.ts";
 export type { ColdEndpoints } from "./cold_endpoints.ts";
 export { createColdEndpoints } from "./cold_endpoints.ts";
@@ -242,7 +242,7 @@
 export { createPieceBatcher } from "./piece_batcher.ts";
 export type { CallerElapsed } from "./caller_elapsed.ts";
 export { createCallerElapsed } from "./caller_elapsed.ts";
-export type { FlowForecast, PieceFlow, PieceWaits } from "./piece_rates.ts";
+export type { PieceRates, PieceWaits, WaitForecast } from "./piece_rates.ts";
 export {
   chooseOverflow,
   choosePartition,
@@ -250,7 +250,7 @@
   listPartitionEndpoints,
   listPartitions,
   OVERFLOW_WAIT,
-  WHOLE_POOL,
+  UNPARTITIONED,
 } from "./pool_partition.ts";
 export { createPieceFlow } from "./piece_rates.ts";
 export type { EngineChoice, EngineView, PromptPart } from "./engine_choice.ts";
--- a/packages/coordination/src/outcome_table.ts
+++ b/packages/coordination/src/outcome_table.ts
@@ -13,7 +13,7 @@
 import { formatRequestKey } from "./request_id.ts";
 
 /** The result of {@linkcode OutcomeTable.begin}. */
-export type BeginOutcome<T> =
+export type BeginResult<T> =
   /**
    * A new request: the caller of `begin` now owns the run and must finish it.
    */
@@ -39,7 +39,7 @@
 }
 
 /** The result of {@linkcode OutcomeTable.forbid}. */
-export type ForbidOutcome<T> =
+export type ForbidResult<T> =
   | { kind: "forbidden" }
   | { kind: "known"; outcome: Promise<T> }
   | { kind: "full" };
@@ -54,9 +54,9 @@
 /** The outcome records of one entry incarnation. */
 export interface OutcomeTable<T> {
   readonly size: number;
-  begin(key: RequestKey, keepUntil: Millis): BeginOutcome<T>;
+  begin(key: RequestKey, keepUntil: Millis): BeginResult<T>;
   /** Ensures that a request which has not begun will never run here. */
-  forbid(key: RequestKey, keepUntil: Millis): ForbidOutcome<T>;
+  forbid(key: RequestKey, keepUntil: Millis): ForbidResult<T>;
 }
 
 interface OutcomeRecord<T> {
@@ -86,7 +86,7 @@
    * Returns the record of a request, or `full` if there is no room for a new
    * one.
    */
-  function findSeen(key: RequestKey): ForbidOutcome<T> | undefined {
+  function findExisting(key: RequestKey): ForbidResult<T> | undefined {
     dropExpired();
     const record = records.get(formatRequestKey(key));
     if (record?.outcome !== undefined) {
@@ -96,11 +96,11 @@
     return records.size >= capacity ? { kind: "full" } : undefined;
   }
 
-  function begin(key: RequestKey, keepUntil: Millis): BeginOutcome<T> {
-    const seen = findSeen(key);
-    if (seen !== undefined) return seen;
+  function begin(key: RequestKey, keepUntil: Millis): BeginResult<T> {
+    const existing = findExisting(key);
+    if (existing !== undefined) return existing;
     const text = formatRequestKey(key);
-    const { promise, resolve } = createResolvable<T>();
+    const { promise, resolve } = createDeferred<T>();
     records.set(text, { keepUntil, outcome: promise });
     const run: OwnedRun<T> = {
       finish: resolve,
@@ -112,9 +112,9 @@
     return { kind: "fresh", run };
   }
 
-  function forbid(key: RequestKey, keepUntil: Millis): ForbidOutcome<T> {
-    const seen = findSeen(key);
-    if (seen !== undefined) return seen;
+  function forbid(key: RequestKey, keepUntil: Millis): ForbidResult<T> {
+    const existing = findExisting(key);
+    if (existing !== undefined) return existing;
     const text = formatRequestKey(key);
     records.set(text, { keepUntil, outcome: undefined });
     return { kind: "forbidden" };
@@ -129,7 +129,7 @@
   };
 }
 
-function createResolvable<T>() {
+function createDeferred<T>() {
   let resolve!: (value: T) => void;
   const promise = new Promise<T>((done) => resolve = done);
   return { promise, resolve };
--- a/packages/coordination/src/peer_version_tracker.ts
+++ b/packages/coordination/src/peer_version_tracker.ts
@@ -11,7 +11,7 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 
 /** Tracks the configuration versions of peers, independent of the store. */
-export interface VersionWatch {
+export interface PeerVersionTracker {
   /** Records the newest version that a live peer has. */
   note(version: number): void;
   /** Returns the newest version that a live peer has; 0 if there is none. */
@@ -24,37 +24,38 @@
   isBehind(version: number, age: Millis): boolean;
 }
 
-interface ToldVersion {
+interface NewerVersion {
   version: number;
-  toldAt: Millis;
+  seenAt: Millis;
 }
 
 /** Within this time a version of the peers normally reaches this entry too. */
 const CATCH_UP_TIME: Millis = 1_000;
 /** Reached only in a storm of changes; the oldest versions are decisive. */
-const MAX_TOLD = 100;
+const MAX_NEWER = 100;
 
-/** Creates the watch of an entry without peers. */
-export function createVersionWatch(clock: Clock): VersionWatch {
+/** Creates the tracker of an entry without peers. */
+export function createVersionWatch(clock: Clock): PeerVersionTracker {
   /** Reported versions newer than this entry's, oldest first. */
-  let told: ToldVersion[] = [];
+  let newer: NewerVersion[] = [];
   let newest = 0;
 
-  function note(version: number): void {
+  function record(version: number): void {
     if (version === newest) return;
     newest = version;
     // No live peer has a version above this one any more.
-    told = told.filter((one) => one.version < version);
-    if (told.length < MAX_TOLD) told.push({ version, toldAt: clock.now() });
+    newer = newer.filter((one) => one.version < version);
+    if (newer.length < MAX_NEWER) newer.push({ version, seenAt: clock.now() });
   }
 
   function isBehind(version: number, age: Millis): boolean {
-    told = told.filter((one) => one.version > version);
-    const [first] = told;
+    newer = newer.filter((one) => one.version > version);
+    const [first] = newer;
     if (first === undefined) return false;
     const now = clock.now();
-    return now - first.toldAt > CATCH_UP_TIME || now - age > first.toldAt;
+    return now - first.seenAt > CATCH_UP_TIME ||
+      now - age > first.seenAt;
   }
 
-  return { note, readNewest: () => newest, isBehind };
+  return { note: record, readNewest: () => newest, isBehind };
 }
--- a/packages/coordination/src/piece_batcher.ts
+++ b/packages/coordination/src/piece_batcher.ts
@@ -18,8 +18,8 @@
  */
 import type { Millis } from "@mangoreach/shared";
 import type { EndpointInfo } from "./endpoint.ts";
-import { listNearWaiting } from "./locality_wait.ts";
-import type { FlowForecast, PieceWaits } from "./piece_rates.ts";
+import { listLocalityWaiting } from "./locality_wait.ts";
+import type { PieceWaits, WaitForecast } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /** The pieces of one stage of one request. */
@@ -80,7 +80,7 @@
    * Removes and returns the pieces that would miss their deadline behind those
    * ahead of them, so that their callers learn it now and not at the deadline.
    */
-  dropLate(now: Millis, forecast: FlowForecast): P[];
+  dropLate(now: Millis, forecast: WaitForecast): P[];
   /** Removes and returns the pieces of the next call, if one can start now. */
   planCall<E extends BatchEndpoint>(
     endpoints: readonly E[],
@@ -89,12 +89,12 @@
   /** Estimates the times until a new piece of this priority is in a call. */
   estimateWaits(
     priority: number,
-    { now, forecast }: { now: Millis; forecast: FlowForecast },
+    { now, forecast }: { now: Millis; forecast: WaitForecast },
   ): PieceWaits;
 }
 
 /** An endpoint this many times slower than the fastest free one is not used. */
-const SLOW_FACTOR = 2.5;
+const MAX_SLOWDOWN_FACTOR = 2.5;
 
 /** Creates an empty batcher; reads the specification again for each call. */
 export function createPieceBatcher<P extends WaitingPiece>(
@@ -107,7 +107,7 @@
   }
 
   /** Sorts again, because lateness and started groups change over time. */
-  function refreshOrder(now: Millis, spec: BatchSpec): void {
+  function sortWaiting(now: Millis, spec: BatchSpec): void {
     const ranked = waiting.map((piece) => ({
       piece,
       late: isLate(piece, { now, spec }),
@@ -123,21 +123,21 @@
     if (index >= 0) waiting.splice(index, 1);
   }
 
-  function dropLate(now: Millis, forecast: FlowForecast): P[] {
+  function dropInfeasible(now: Millis, forecast: WaitForecast): P[] {
     const spec = readSpec();
     const { callTime, pieceTime } = spec;
-    refreshOrder(now, spec);
-    const hopeless: P[] = [];
+    sortWaiting(now, spec);
+    const infeasible: P[] = [];
     const kept: P[] = [];
     for (const piece of waiting) {
       const wait = isLate(piece, { now, spec })
         ? forecast.estimateLate(kept.length)
         : forecast.estimateOnTime(kept.length, piece.priority);
-      const isHopeless = now + wait + callTime + pieceTime > piece.dueAt;
-      (isHopeless ? hopeless : kept).push(piece);
+      const isInfeasible = now + wait + callTime + pieceTime > piece.dueAt;
+      (isInfeasible ? infeasible : kept).push(piece);
     }
     waiting = kept;
-    return hopeless;
+    return infeasible;
   }
 
   function planCall<E extends BatchEndpoint>(
@@ -147,15 +147,19 @@
     const spec = readSpec();
     const free = endpoints.filter(({ calls }) => calls < spec.slots);
     if (free.length === 0) return undefined;
-    refreshOrder(now, spec);
-    const nearWaiting = listNearWaiting(waiting, { endpoints, now, spec });
+    sortWaiting(now, spec);
+    const localityWaiting = listLocalityWaiting(waiting, {
+      endpoints,
+      now,
+      spec,
+    });
     for (const first of waiting) {
-      const isNearFree = free.some(({ info }) => info.place === first.place);
-      if (!isNearFree && nearWaiting.has(first)) continue;
+      const isLocalFree = free.some(({ info }) => info.place === first.place);
+      if (!isLocalFree && localityWaiting.has(first)) continue;
       const endpoint = chooseEndpoint(first, { free, spec });
       if (endpoint === undefined) continue;
       const mayWait = (piece: P) =>
-        piece.place !== endpoint.info.place && nearWaiting.has(piece);
+        piece.place !== endpoint.info.place && localityWaiting.has(piece);
       const pieces = choosePieces(first, {
         endpoint,
         mayWait,
@@ -174,20 +178,20 @@
    * Returns the storage that a piece needs: for its whole group if none has
    * started.
    */
-  function sumNeeded(piece: P): number {
+  function computeNeededStorage(piece: P): number {
     const { group, resultBytes } = piece;
     if (group.started > 0) return resultBytes;
     return waiting.filter((other) => other.group === group)
       .reduce((sum, other) => sum + other.resultBytes, 0);
   }
 
-  function hasRoom(
+  function hasStorage(
     piece: P,
     { roomTaken, roomLeft }: { roomTaken: number; roomLeft: number },
   ): boolean {
     // A group larger than the storage of an endpoint may start on an empty one.
     if (roomTaken === 0) return piece.resultBytes <= roomLeft;
-    return sumNeeded(piece) <= roomLeft;
+    return computeNeededStorage(piece) <= roomLeft;
   }
 
   /**
@@ -201,11 +205,11 @@
     const fitting = listFast(
       free.filter(({ info, roomTaken }) =>
         !piece.avoid.has(info.id) &&
-        hasRoom(piece, { roomTaken, roomLeft: spec.roomBytes - roomTaken })
+        hasStorage(piece, { roomTaken, roomLeft: spec.roomBytes - roomTaken })
       ),
     );
-    const near = fitting.filter(({ info }) => info.place === piece.place);
-    return findEmptiest(near.length > 0 ? near : fitting);
+    const local = fitting.filter(({ info }) => info.place === piece.place);
+    return findMostFree(local.length > 0 ? local : fitting);
   }
 
   /**
@@ -222,7 +226,7 @@
     },
   ): P[] {
     const chosen = new Set([first]);
-    const begun = new Set([first.group]);
+    const startedGroups = new Set([first.group]);
     let roomTaken = endpoint.roomTaken + first.resultBytes;
 
     function addFitting(pieces: readonly P[]): void {
@@ -231,11 +235,11 @@
         if (!mayShareCall(first, piece)) continue;
         if (chosen.has(piece) || piece.avoid.has(endpoint.info.id)) continue;
         const roomLeft = spec.roomBytes - roomTaken;
-        const fits = begun.has(piece.group)
+        const fits = startedGroups.has(piece.group)
           ? piece.resultBytes <= roomLeft
-          : hasRoom(piece, { roomTaken, roomLeft });
+          : hasStorage(piece, { roomTaken, roomLeft });
         if (!fits) continue;
-        begun.add(piece.group);
+        startedGroups.add(piece.group);
         roomTaken += piece.resultBytes;
         chosen.add(piece);
       }
@@ -248,7 +252,7 @@
 
   function estimateWaits(
     priority: number,
-    { now, forecast }: { now: Millis; forecast: FlowForecast },
+    { now, forecast }: { now: Millis; forecast: WaitForecast },
   ): PieceWaits {
     const spec = readSpec();
     const ahead = waiting.filter((piece) =>
@@ -267,15 +271,15 @@
     },
     add,
     remove,
-    dropLate,
+    dropLate: dropInfeasible,
     planCall,
     estimateWaits,
   };
 }
 
 function mayShareCall(first: WaitingPiece, other: WaitingPiece): boolean {
-  const isAnyAlone = first.isAlone === true || other.isAlone === true;
-  return !isAnyAlone || first.group === other.group;
+  const isAnyIsolated = first.isAlone === true || other.isAlone === true;
+  return !isAnyIsolated || first.group === other.group;
 }
 
 /** Whether a call that starts now would miss the latency objective. */
@@ -294,10 +298,12 @@
 /** Excludes endpoints far slower than the fastest; never excludes all. */
 function listFast<E extends BatchEndpoint>(endpoints: readonly E[]): E[] {
   const fastest = Math.min(...endpoints.map(({ slowness }) => slowness));
-  return endpoints.filter(({ slowness }) => slowness <= SLOW_FACTOR * fastest);
+  return endpoints.filter(({ slowness }) =>
+    slowness <= MAX_SLOWDOWN_FACTOR * fastest
+  );
 }
 
-function findEmptiest<E extends BatchEndpoint>(
+function findMostFree<E extends BatchEndpoint>(
   endpoints: readonly E[],
 ): E | undefined {
   return endpoints.reduce<E | undefined>(
--- a/packages/coordination/src/piece_batcher_replay_test.ts
+++ b/packages/coordination/src/piece_batcher_replay_test.ts
@@ -22,18 +22,18 @@
   pieces: number;
   resultBytes: number;
   /** How long results are stored after their call. */
-  hold: number;
+  storedFor: number;
   /** Time from arrival to the latency objective, and to the deadline. */
   onTime: number;
   due: number;
   /** Whether pieces of several requests share calls. */
   isShared: boolean;
   /** Whether waits are forecast from the length of the queue alone. */
-  isBlind?: boolean;
+  ignoresArrivals?: boolean;
 }
 
 interface ClassResult {
-  asked: number;
+  requested: number;
   onTime: number;
   late: number;
 }
@@ -43,7 +43,7 @@
   /** Endpoint time per piece. */
   perPiece: number;
   /** The longest time that a piece waited before it was dropped. */
-  longestHeld: number;
+  longestWait: number;
 }
 
 interface Piece extends WaitingPiece {
@@ -67,7 +67,7 @@
   const batcher = createPieceBatcher<Piece>(() => spec1);
   let time = 0;
   const flow = createPieceFlow({ ...createFakeClock(0), now: () => time });
-  const held: number[] = [];
+  const waitsOfDropped: number[] = [];
   const endpoints = Array.from(
     { length: load.endpoints },
     (_, index) => createEndpoint(`e${index}`),
@@ -76,13 +76,13 @@
   const left = new Map<number, number>();
   const arrivedAt = new Map<number, number>();
   const classes = load.readRates(0).map(() => ({
-    asked: 0,
+    requested: 0,
     onTime: 0,
     late: 0,
   }));
   let requests = 0;
   let busy = 0;
-  let made = 0;
+  let completed = 0;
 
   function at(time: number, event: () => void): void {
     events.set(time, [...(events.get(time) ?? []), event]);
@@ -93,8 +93,8 @@
     const group = { started: 0 };
     left.set(request, load.pieces);
     arrivedAt.set(request, now);
-    classes[className]!.asked++;
-    if (!load.isBlind) flow.recordArrival(className, load.pieces);
+    classes[className]!.requested++;
+    if (!load.ignoresArrivals) flow.recordArrival(className, load.pieces);
     for (let piece = 0; piece < load.pieces; piece++) {
       batcher.add({
         className,
@@ -112,7 +112,7 @@
   }
 
   function finish(now: number, piece: Piece): void {
-    made++;
+    completed++;
     const rest = (left.get(piece.request) ?? 0) - 1;
     left.set(piece.request, rest);
     if (rest > 0) return;
@@ -125,7 +125,7 @@
   function send(now: number): void {
     const forecast = flow.forecast(spec, endpoints.length);
     for (const { request } of batcher.dropLate(now, forecast)) {
-      held.push(now - (arrivedAt.get(request) ?? 0));
+      waitsOfDropped.push(now - (arrivedAt.get(request) ?? 0));
     }
     for (;;) {
       const call = batcher.planCall(endpoints, {
@@ -143,7 +143,7 @@
         endpoint.calls--;
         pieces.forEach((piece) => finish(now + time, piece));
       });
-      at(now + time + load.hold, () => {
+      at(now + time + load.storedFor, () => {
         endpoint.roomTaken -= pieces.length * resultBytes;
       });
     }
@@ -166,8 +166,10 @@
     });
     send(now);
   }
-  const longestHeld = held.length === 0 ? 0 : Math.max(...held);
-  return { classes, perPiece: busy / made, longestHeld };
+  const longestWait = waitsOfDropped.length === 0
+    ? 0
+    : Math.max(...waitsOfDropped);
+  return { classes, perPiece: busy / completed, longestWait: longestWait };
 }
 
 function createEndpoint(id: string): Endpoint {
@@ -182,13 +184,13 @@
   return { info, calls: 0, roomTaken: 0, slowness: 1, freeAt: 0 };
 }
 
-const readShare = ({ asked, onTime }: ClassResult) => onTime / asked;
+const readShare = ({ requested, onTime }: ClassResult) => onTime / requested;
 
 /**
  * Large results under normal load: 19 requests a second on average, here at the
  * peak of their fluctuation, on four endpoints.
  */
-const CALM: Load = {
+const NORMAL: Load = {
   spec: {
     slots: 1,
     maxPieces: 6,
@@ -201,7 +203,7 @@
   readRates: () => [26],
   pieces: 1,
   resultBytes: 700_000,
-  hold: 500,
+  storedFor: 500,
   onTime: 700,
   due: 4_000,
   isShared: true,
@@ -224,7 +226,7 @@
   readRates: (now) => [now > 8_000 && now < 14_000 ? 9 : 4, 5],
   pieces: 6,
   resultBytes: 60_000,
-  hold: 350,
+  storedFor: 350,
   onTime: 1_200,
   due: 4_000,
   isShared: true,
@@ -244,7 +246,7 @@
   readRates: () => [5, 7.2],
   pieces: 4,
   resultBytes: 60_000,
-  hold: 350,
+  storedFor: 350,
   onTime: 1_500,
   due: 6_000,
   isShared: true,
@@ -254,8 +256,8 @@
   // Normal load overloads the pool if each request makes its own call: the
   // fixed cost of the calls exceeds the capacity of four endpoints.
   it("serves normal load with shared calls, but not with separate ones", () => {
-    const shared = replay(CALM);
-    const single = replay({ ...CALM, isShared: false });
+    const shared = replay(NORMAL);
+    const single = replay({ ...NORMAL, isShared: false });
     expect(readShare(shared.classes[0]!)).to.be.greaterThan(0.97);
     expect(readShare(single.classes[0]!)).to.be.lessThan(0.75);
     expect(shared.perPiece).to.be.lessThan(single.perPiece);
@@ -274,12 +276,12 @@
   // be served. Later arrivals overtake them: by the length of the queue each
   // seems to be served soon, and is refused after half of its time.
   it("drops pieces early that later arrivals would overtake until the deadline", () => {
-    const blind = replay({ ...OVERLOAD, isBlind: true });
-    const seeing = replay(OVERLOAD);
-    expect(blind.longestHeld).to.be.greaterThan(4_500);
-    expect(seeing.longestHeld).to.be.lessThan(2_500);
-    expect(seeing.classes[0]!.onTime)
-      .to.be.greaterThan(0.97 * blind.classes[0]!.onTime);
+    const byQueue = replay({ ...OVERLOAD, ignoresArrivals: true });
+    const byRates = replay(OVERLOAD);
+    expect(byQueue.longestWait).to.be.greaterThan(4_500);
+    expect(byRates.longestWait).to.be.lessThan(2_500);
+    expect(byRates.classes[0]!.onTime)
+      .to.be.greaterThan(0.97 * byQueue.classes[0]!.onTime);
   });
 
   it("is deterministic", () => {
--- a/packages/coordination/src/piece_rates.ts
+++ b/packages/coordination/src/piece_rates.ts
@@ -26,7 +26,7 @@
 }
 
 /** A forecast of the waits in the current queue. */
-export interface FlowForecast {
+export interface WaitForecast {
   /**
    * Estimates the wait of an on-time piece of a priority behind `ahead` others.
    */
@@ -40,7 +40,7 @@
 }
 
 /** The state of a pool's queue. */
-export interface PieceQueue {
+export interface PieceQueueState {
   waiting: number;
   /** Whether all endpoints have as many calls as they have slots. */
   isBusy: boolean;
@@ -49,16 +49,16 @@
 }
 
 /** The arrival and service rates of a pool. */
-export interface PieceFlow {
+export interface PieceRates {
   /** Records the arrival of pieces that can still meet their objective. */
   recordArrival(priority: number, pieces: number): void;
   /** Records that pieces were sent in a call. */
   recordCall(pieces: number): void;
   /** Records the state of the queue. */
-  noteQueue(queue: PieceQueue): void;
+  noteQueue(queue: PieceQueueState): void;
   /** Whether there has been a backlog for some time. */
   isStrained(): boolean;
-  forecast(spec: BatchSpec, endpointCount: number): FlowForecast;
+  forecast(spec: BatchSpec, endpointCount: number): WaitForecast;
 }
 
 /**
@@ -66,24 +66,24 @@
  * Late pieces can be served after a burst: with its peak rate as the forecast,
  * callers who can wait for twenty seconds would be refused.
  */
-const BURST_TIME: Millis = 5_000;
-const LONG_RUN: Millis = 30_000;
+const BURST_TIME_CONSTANT: Millis = 5_000;
+const LONG_WINDOW: Millis = 30_000;
 /** Step of the simulation that estimates the waits of late pieces. */
-const STEP: Millis = 250;
+const FORECAST_STEP: Millis = 250;
 /** A backlog counts after this time; a shorter one may clear by itself. */
-const BACKLOG_TIME: Millis = 1_000;
+const MIN_BACKLOG_TIME: Millis = 1_000;
 /**
  * Lower measured rates, as a share of the nominal rate, are taken for outliers.
  */
-const LOWEST_SHARE = 0.4;
+const MIN_RATE_SHARE = 0.4;
 /**
  * The share of the capacity that is assumed to be left for pieces behind all
  * others. With 0, late requests would be refused during a whole burst although
  * calls have unused positions at times.
  */
-const SPARE_SHARE = 0.05;
+const MIN_SPARE_SHARE = 0.05;
 /** Upper bound of the forecasts; no caller waits that long. */
-const LONGEST_WAIT: Millis = 60_000;
+const MAX_WAIT: Millis = 60_000;
 
 /**
  * A queue is a backlog above this share of what the next calls can hold. With a
@@ -91,24 +91,24 @@
  * measured rate is not their limit, and unused positions in a call cost
  * nothing.
  */
-const BACKLOG_SHARE = 0.5;
+const MIN_BACKLOG_SHARE = 0.5;
 
-interface Arrivals {
-  lately: EventRate;
-  longer: EventRate;
+interface ArrivalRates {
+  recent: EventRate;
+  longTerm: EventRate;
 }
 
 /** Creates the rates of a pool without arrivals. */
-export function createPieceFlow(clock: Clock): PieceFlow {
-  const arrivals = new Map<number, Arrivals>();
-  const called = createEventRate(clock);
+export function createPieceFlow(clock: Clock): PieceRates {
+  const arrivals = new Map<number, ArrivalRates>();
+  const callRate = createEventRate(clock);
   const startedAt = clock.now();
   let backlogSince: Millis | undefined;
 
-  function findArrivals(priority: number): Arrivals {
+  function findArrivals(priority: number): ArrivalRates {
     const known = arrivals.get(priority) ?? {
-      lately: createEventRate(clock),
-      longer: createEventRate(clock, LONG_RUN),
+      recent: createEventRate(clock),
+      longTerm: createEventRate(clock, LONG_WINDOW),
     };
     arrivals.set(priority, known);
     return known;
@@ -117,7 +117,7 @@
   /**
    * Returns the arrivals a second of all priorities more urgent than `before`.
    */
-  function readArrivals(before: number, span: keyof Arrivals): number {
+  function readArrivals(before: number, span: keyof ArrivalRates): number {
     return [...arrivals]
       .filter(([priority]) => priority < before)
       .reduce((sum, [, rates]) => sum + rates[span].read(), 0);
@@ -129,54 +129,55 @@
   function readCapacity(spec: BatchSpec, endpointCount: number): number {
     const perRound = endpointCount * spec.slots * spec.maxPieces;
     const nominal = 1_000 * perRound / computeFullCall(spec);
-    if (!isStrained()) return nominal;
-    const lowest = LOWEST_SHARE * nominal;
-    return Math.min(nominal, Math.max(lowest, called.read()));
+    if (!isBacklogged()) return nominal;
+    const lowest = MIN_RATE_SHARE * nominal;
+    return Math.min(nominal, Math.max(lowest, callRate.read()));
   }
 
-  function isStrained(): boolean {
+  function isBacklogged(): boolean {
     return backlogSince !== undefined &&
-      clock.now() - backlogSince >= BACKLOG_TIME;
+      clock.now() - backlogSince >= MIN_BACKLOG_TIME;
   }
 
   /**
    * Estimates when the capacity left by on-time arrivals has served `ahead`
    * pieces.
    */
-  function estimateBehindAll(ahead: number, capacity: number): Millis {
-    const now = readArrivals(Infinity, "lately");
-    const later = readArrivals(Infinity, "longer") / computeSeenShare();
+  function estimateLateWait(ahead: number, capacity: number): Millis {
+    const now = readArrivals(Infinity, "recent");
+    const later = readArrivals(Infinity, "longTerm") / computeObservedShare();
     let left = ahead;
-    for (let time = 0; time < LONGEST_WAIT; time += STEP) {
+    for (let time = 0; time < MAX_WAIT; time += FORECAST_STEP) {
       if (left <= 0) return time;
-      const arriving = later + (now - later) * Math.exp(-time / BURST_TIME);
-      const spare = Math.max(capacity - arriving, SPARE_SHARE * capacity);
-      left -= spare * STEP / 1_000;
+      const arriving = later +
+        (now - later) * Math.exp(-time / BURST_TIME_CONSTANT);
+      const spare = Math.max(capacity - arriving, MIN_SPARE_SHARE * capacity);
+      left -= spare * FORECAST_STEP / 1_000;
     }
-    return LONGEST_WAIT;
+    return MAX_WAIT;
   }
 
   /** Returns the share of the long window that has been observed so far. */
-  function computeSeenShare(): number {
-    const age = Math.max(BACKLOG_TIME, clock.now() - startedAt);
-    return 1 - Math.exp(-age / LONG_RUN);
+  function computeObservedShare(): number {
+    const age = Math.max(MIN_BACKLOG_TIME, clock.now() - startedAt);
+    return 1 - Math.exp(-age / LONG_WINDOW);
   }
 
-  function forecast(spec: BatchSpec, endpointCount: number): FlowForecast {
+  function forecast(spec: BatchSpec, endpointCount: number): WaitForecast {
     const capacity = readCapacity(spec, endpointCount);
     const readSpare = (before: number) =>
       Math.max(
-        capacity - readArrivals(before, "lately"),
-        SPARE_SHARE * capacity,
+        capacity - readArrivals(before, "recent"),
+        MIN_SPARE_SHARE * capacity,
       );
     const estimate = (ahead: number, spare: number) =>
-      ahead === 0 ? 0 : Math.min(LONGEST_WAIT, 1_000 * ahead / spare);
+      ahead === 0 ? 0 : Math.min(MAX_WAIT, 1_000 * ahead / spare);
     return {
       estimateOnTime: (ahead, priority) => estimate(ahead, readSpare(priority)),
-      estimateLate: (ahead) => estimateBehindAll(ahead, capacity),
+      estimateLate: (ahead) => estimateLateWait(ahead, capacity),
       estimateGrowth(priority) {
         if (capacity === 0) return 0;
-        const excess = readArrivals(priority + 1, "lately") - capacity;
+        const excess = readArrivals(priority + 1, "recent") - capacity;
         return excess / readSpare(priority);
       },
     };
@@ -185,25 +186,25 @@
   /**
    * Whether all endpoints are busy and the queue exceeds its backlog threshold.
    */
-  function isBacklogged(
-    { waiting, isBusy, spec, endpointCount }: PieceQueue,
+  function isQueueLong(
+    { waiting, isBusy, spec, endpointCount }: PieceQueueState,
   ): boolean {
     const perRound = endpointCount * spec.slots * spec.maxPieces;
-    return isBusy && waiting > BACKLOG_SHARE * perRound;
+    return isBusy && waiting > MIN_BACKLOG_SHARE * perRound;
   }
 
   return {
     recordArrival(priority, pieces) {
-      const { lately, longer } = findArrivals(priority);
-      lately.record(pieces);
-      longer.record(pieces);
+      const { recent, longTerm } = findArrivals(priority);
+      recent.record(pieces);
+      longTerm.record(pieces);
     },
-    recordCall: (pieces) => called.record(pieces),
+    recordCall: (pieces) => callRate.record(pieces),
     noteQueue(queue) {
-      if (!isBacklogged(queue)) backlogSince = undefined;
+      if (!isQueueLong(queue)) backlogSince = undefined;
       else backlogSince ??= clock.now();
     },
-    isStrained,
+    isStrained: isBacklogged,
     forecast,
   };
 }
--- a/packages/coordination/src/place_evacuation.ts
+++ b/packages/coordination/src/place_evacuation.ts
@@ -41,9 +41,9 @@
  * reports its state about once a second, and the report has to reach every
  * entry; the state before the evacuation is no longer valid.
  */
-const RETURN_CAUTION: Millis = 3_000;
+const RETURN_COLD_PERIOD: Millis = 3_000;
 /** Within this time operators write marks again that a restored store lacks. */
-const REWRITE_TIME: Millis = 10_000;
+const REWRITE_GRACE_PERIOD: Millis = 10_000;
 
 /** Creates the state without evacuated places. */
 export function createPlaceEvacuation(
@@ -58,28 +58,31 @@
   const unconfirmed = new Map<string, () => void>();
   let isRestored = false;
 
-  function noteConfirmed(place: string): void {
+  function confirmMark(place: string): void {
     unconfirmed.get(place)?.();
     unconfirmed.delete(place);
   }
 
   function markEvacuated(place: string): void {
-    noteConfirmed(place);
+    confirmMark(place);
     if (evacuated.has(place)) return;
     evacuated.add(place);
     onChange(place, "evacuated");
   }
 
-  function takeBack(place: string): void {
-    noteConfirmed(place);
+  function clearEvacuated(place: string): void {
+    confirmMark(place);
     if (!evacuated.delete(place)) return;
     returnedAt.set(place, clock.now());
     onChange(place, "returned");
   }
 
-  function waitForRewrite(place: string): void {
+  function scheduleRemoval(place: string): void {
     if (unconfirmed.has(place)) return;
-    const stop = clock.startTimer(REWRITE_TIME, () => takeBack(place));
+    const stop = clock.startTimer(
+      REWRITE_GRACE_PERIOD,
+      () => clearEvacuated(place),
+    );
     unconfirmed.set(place, stop);
   }
 
@@ -87,8 +90,8 @@
     const named = new Set(places);
     for (const place of [...evacuated]) {
       if (named.has(place) || unconfirmed.has(place)) continue;
-      if (isRestored) waitForRewrite(place);
-      else takeBack(place);
+      if (isRestored) scheduleRemoval(place);
+      else clearEvacuated(place);
     }
     isRestored = false;
     places.forEach(markEvacuated);
@@ -97,7 +100,7 @@
   function isReturning(place: string): boolean {
     const at = returnedAt.get(place);
     if (at === undefined) return false;
-    if (clock.now() - at < RETURN_CAUTION) return true;
+    if (clock.now() - at < RETURN_COLD_PERIOD) return true;
     returnedAt.delete(place);
     return false;
   }
@@ -105,7 +108,7 @@
   return {
     replaceAll,
     markEvacuated,
-    takeBack,
+    takeBack: clearEvacuated,
     noteRestored() {
       isRestored = true;
     },
--- a/packages/coordination/src/placement.ts
+++ b/packages/coordination/src/placement.ts
@@ -49,7 +49,7 @@
   const sorted = [...engines].sort((a, b) =>
     a.endpointKey.localeCompare(b.endpointKey)
   );
-  const wanted = countWanted(models, {
+  const engineCounts = computeEngineCounts(models, {
     engines: sorted.length,
     demand,
     modelsPerEngine,
@@ -60,10 +60,10 @@
   // Engines that have loaded the model come first: keeping it there loads
   // nothing.
   for (const model of models) {
-    let left = wanted.get(model.name) ?? 0;
-    for (const holding of listByFitness(sorted, { model, plans })) {
+    let left = engineCounts.get(model.name) ?? 0;
+    for (const engine of rankEngines(sorted, { model, plans })) {
       if (left === 0) break;
-      const plan = plans.get(holding.endpointKey);
+      const plan = plans.get(engine.endpointKey);
       if (plan === undefined || plan.length >= modelsPerEngine) continue;
       plan.push(model);
       left--;
@@ -82,7 +82,7 @@
 /**
  * Returns the number of engines for each model: its minimum, then by demand.
  */
-function countWanted(
+function computeEngineCounts(
   models: readonly PlacedModel[],
   { engines, demand, modelsPerEngine }: {
     engines: number;
@@ -90,43 +90,47 @@
     modelsPerEngine: number;
   },
 ): Map<string, number> {
-  const wanted = new Map(
+  const engineCounts = new Map(
     models.map(({ name, minEngines }) => [name, Math.min(minEngines, engines)]),
   );
-  let room = engines * modelsPerEngine -
-    [...wanted.values()].reduce((sum, count) => sum + count, 0);
-  while (room > 0) {
-    const neediest = findNeediest(models, { wanted, engines, demand });
-    if (neediest === undefined) break;
-    wanted.set(neediest, (wanted.get(neediest) ?? 0) + 1);
-    room--;
+  let freeSlots = engines * modelsPerEngine -
+    [...engineCounts.values()].reduce((sum, count) => sum + count, 0);
+  while (freeSlots > 0) {
+    const highest = findHighestDemand(models, {
+      engineCounts,
+      engines,
+      demand,
+    });
+    if (highest === undefined) break;
+    engineCounts.set(highest, (engineCounts.get(highest) ?? 0) + 1);
+    freeSlots--;
   }
-  return wanted;
+  return engineCounts;
 }
 
 /** Finds the model with the highest demand per assigned engine. */
-function findNeediest(
+function findHighestDemand(
   models: readonly PlacedModel[],
-  { wanted, engines, demand }: {
-    wanted: ReadonlyMap<string, number>;
+  { engineCounts, engines, demand }: {
+    engineCounts: ReadonlyMap<string, number>;
     engines: number;
     demand: ModelDemand;
   },
 ): string | undefined {
-  let neediest: string | undefined;
+  let highest: string | undefined;
   let most = -1;
   for (const { name } of models) {
-    const count = wanted.get(name) ?? 0;
+    const count = engineCounts.get(name) ?? 0;
     if (count >= engines) continue;
     const need = (demand.get(name) ?? 0) / Math.max(1, count);
     if (need <= most) continue;
     most = need;
-    neediest = name;
+    highest = name;
   }
-  return neediest;
+  return highest;
 }
 
-function listByFitness(
+function rankEngines(
   engines: readonly EngineHolding[],
   { model, plans }: {
     model: PlacedModel;
@@ -134,9 +138,9 @@
   },
 ): EngineHolding[] {
   const rank = ({ endpointKey, models }: EngineHolding) => {
-    const isHeld = models.some(({ name }) => name === model.name);
+    const isLoaded = models.some(({ name }) => name === model.name);
     const planned = plans.get(endpointKey)?.length ?? 0;
-    return (isHeld ? 0 : 1_000) + planned;
+    return (isLoaded ? 0 : 1_000) + planned;
   };
   return [...engines].sort((a, b) => rank(a) - rank(b));
 }
@@ -167,7 +171,7 @@
 /** Creates a tracker without demand. */
 export function createDemandTracker(clock: Clock): DemandTracker {
   const amounts = new Map<string, number>();
-  let settled: ModelDemand = new Map();
+  let stable: ModelDemand = new Map();
   let decayedAt = clock.now();
 
   function refreshAmounts(): void {
@@ -184,14 +188,14 @@
 
   function read(): ModelDemand {
     refreshAmounts();
-    if (hasMoved(amounts, settled)) settled = new Map(amounts);
-    return settled;
+    if (hasChanged(amounts, stable)) stable = new Map(amounts);
+    return stable;
   }
 
   return { record, read };
 }
 
-function hasMoved(now: ModelDemand, before: ModelDemand): boolean {
+function hasChanged(now: ModelDemand, before: ModelDemand): boolean {
   const names = new Set([...now.keys(), ...before.keys()]);
   const nowTotal = sum(now);
   const beforeTotal = sum(before);
--- a/packages/coordination/src/placement_test.ts
+++ b/packages/coordination/src/placement_test.ts
@@ -10,7 +10,7 @@
   minEngines,
 });
 
-function hold(endpointKey: string, ...names: string[]): EngineHolding {
+function createEngine(endpointKey: string, ...names: string[]): EngineHolding {
   const models = names.map((name) => ({ name, version: "1", adapters: [] }));
   return { endpointKey, models };
 }
@@ -32,13 +32,22 @@
 
 describe("placement", () => {
   it("assigns engines to models by demand, with a minimum for each", () => {
-    const engines = [hold("e1"), hold("e2"), hold("e3"), hold("e4")];
+    const engines = [
+      createEngine("e1"),
+      createEngine("e2"),
+      createEngine("e3"),
+      createEngine("e4"),
+    ];
     expect(plan(engines, [["a", 90], ["b", 10]]))
       .to.deep.equal(["e1:a", "e2:a", "e3:a", "e4:b"]);
   });
 
   it("keeps models on engines that have loaded them", () => {
-    const engines = [hold("e1", "b"), hold("e2", "a"), hold("e3", "a")];
+    const engines = [
+      createEngine("e1", "b"),
+      createEngine("e2", "a"),
+      createEngine("e3", "a"),
+    ];
     expect(plan(engines, [["a", 60], ["b", 40]]))
       .to.deep.equal(["e1:b", "e2:a", "e3:a"]);
   });
@@ -47,7 +56,7 @@
     const next = [{ ...model("a"), version: "2" }];
     const plans = planPlacement({
       models: next,
-      engines: [hold("e1", "a")],
+      engines: [createEngine("e1", "a")],
       demand: new Map(),
       modelsPerEngine: 1,
     });
--- a/packages/coordination/src/poison_quarantine.ts
+++ b/packages/coordination/src/poison_quarantine.ts
@@ -71,38 +71,39 @@
  * A third in a row is no coincidence, and each crash loses all work of the
  * endpoint.
  */
-const ENDS_TO_QUARANTINE = 3;
+const CRASHES_TO_QUARANTINE = 3;
 /**
  * Crashes within this time count once: they may have a common cause, and a
  * content that many callers request may run at all of these endpoints.
  */
-const SAME_MOMENT: Millis = 500;
+const SIMULTANEOUS_WINDOW: Millis = 500;
 /** Crashes further apart are unrelated. */
-const EVIDENCE_LIFETIME: Millis = 600_000;
+const EVIDENCE_TTL: Millis = 600_000;
 /**
  * After this time a content is accepted again, in case it was suspected wrongly
  * or the endpoints have been fixed. Each further crash doubles the time.
  */
-const FIRST_TERM: Millis = 600_000;
-const LONGEST_TERM: Millis = 86_400_000;
+const INITIAL_TERM: Millis = 600_000;
+const MAX_TERM: Millis = 86_400_000;
 /** For this long, stale records of peers do not revoke a release. */
-const RELEASE_LIFETIME: Millis = 60_000;
+const RELEASE_TTL: Millis = 60_000;
 /**
  * How long changes are sent to peers; peers that missed them read the store.
  */
-const NEWS_LIFETIME: Millis = 30_000;
+const GOSSIP_TTL: Millis = 30_000;
 /**
  * Maximum number of contents, of some 200 bytes; evicts the oldest suspects.
  */
-const MAX_KNOWN = 2_048;
+const MAX_CONTENTS = 2_048;
 
-interface End {
+interface Crash {
   endpointKey: string;
   at: Millis;
 }
 
-interface Known {
-  ends: End[];
+interface ContentState {
+  /** Crashes of endpoints that ran it, oldest first. */
+  ends: Crash[];
   /** Time of the last crash as reported by peers. */
   suspectedAt: Millis;
   quarantinedAt: Millis | undefined;
@@ -116,10 +117,10 @@
 /** Creates an empty quarantine. */
 export function createPoisonQuarantine(clock: Clock): PoisonQuarantine {
   /** By content, in the order of the last change. */
-  const known = new Map<string, Known>();
+  const known = new Map<string, ContentState>();
 
-  function keep(content: string): Known {
-    const present = known.get(content) ?? {
+  function keep(content: string): ContentState {
+    const state = known.get(content) ?? {
       ends: [],
       suspectedAt: -Infinity,
       quarantinedAt: undefined,
@@ -128,12 +129,12 @@
       releasedTerm: 0,
     };
     known.delete(content);
-    known.set(content, present);
-    if (known.size > MAX_KNOWN) dropOldest();
-    return present;
+    known.set(content, state);
+    if (known.size > MAX_CONTENTS) evictOldest();
+    return state;
   }
 
-  function dropOldest(): void {
+  function evictOldest(): void {
     for (const [content, { quarantinedAt }] of known) {
       if (quarantinedAt !== undefined) continue;
       known.delete(content);
@@ -142,22 +143,22 @@
   }
 
   /** Whether the crash is already attributed to a quarantined content. */
-  function isExplained(endpointKey: string): boolean {
+  function isAttributed(endpointKey: string): boolean {
     return [...known.values()].some(({ quarantinedAt, ends }) =>
       quarantinedAt !== undefined &&
-      ends.some((end) => end.endpointKey === endpointKey)
+      ends.some((crash) => crash.endpointKey === endpointKey)
     );
   }
 
-  function isSameMoment(last: End | undefined, run: EndedRun): boolean {
+  function isSimultaneous(last: Crash | undefined, run: EndedRun): boolean {
     if (last === undefined) return false;
     const now = clock.now();
     return now - run.sentAgo < last.at &&
-      now - run.endedAgo - last.at < SAME_MOMENT;
+      now - run.endedAgo - last.at < SIMULTANEOUS_WINDOW;
   }
 
   /** Removes these crashes from other suspects, as their cause is now known. */
-  function dropExplained(endpointKeys: readonly string[]): void {
+  function removeAttributed(endpointKeys: readonly string[]): void {
     for (const [content, { ends, quarantinedAt, term }] of known) {
       if (quarantinedAt !== undefined) continue;
       const left = ends.filter(({ endpointKey }) =>
@@ -169,31 +170,34 @@
     }
   }
 
-  function noteEnded(run: EndedRun): QuarantinedContent | undefined {
+  function recordCrash(run: EndedRun): QuarantinedContent | undefined {
     const { content, endpointKey, endedAgo } = run;
     const now = clock.now();
-    if (isExplained(endpointKey)) return undefined;
+    if (isAttributed(endpointKey)) return undefined;
     const suspect = keep(content);
     if (suspect.quarantinedAt !== undefined) return undefined;
-    const recent = suspect.ends.filter(({ at }) =>
-      now - at < EVIDENCE_LIFETIME
-    );
+    const recent = suspect.ends.filter(({ at }) => now - at < EVIDENCE_TTL);
     suspect.ends = recent;
-    const isKnownEnd = recent.some((end) => end.endpointKey === endpointKey);
-    if (isKnownEnd || isSameMoment(recent.at(-1), run)) return undefined;
+    const isKnownCrash = recent.some((crash) =>
+      crash.endpointKey === endpointKey
+    );
+    if (isKnownCrash || isSimultaneous(recent.at(-1), run)) return undefined;
     recent.push({ endpointKey, at: now - endedAgo });
     const isRelapse = suspect.term > 0;
-    if (!isRelapse && recent.length < ENDS_TO_QUARANTINE) return undefined;
+    if (!isRelapse && recent.length < CRASHES_TO_QUARANTINE) return undefined;
     const found = {
       content,
-      endpointKeys: recent.map((end) => end.endpointKey),
-      term: isRelapse ? Math.min(LONGEST_TERM, 2 * suspect.term) : FIRST_TERM,
+      endpointKeys: recent.map((crash) => crash.endpointKey),
+      term: isRelapse ? Math.min(MAX_TERM, 2 * suspect.term) : INITIAL_TERM,
     };
-    begin(suspect, found);
+    startQuarantine(suspect, found);
     return found;
   }
 
-  function begin(suspect: Known, { endpointKeys, term }: QuarantinedContent) {
+  function startQuarantine(
+    suspect: ContentState,
+    { endpointKeys, term }: QuarantinedContent,
+  ) {
     const now = clock.now();
     suspect.quarantinedAt = now;
     suspect.term = term;
@@ -201,25 +205,25 @@
       endpointKey,
       at: now,
     }));
-    dropExplained(endpointKeys);
+    removeAttributed(endpointKeys);
   }
 
-  function adopt(quarantined: QuarantinedContent): boolean {
+  function mergeQuarantined(quarantined: QuarantinedContent): boolean {
     const suspect = keep(quarantined.content);
     if (suspect.quarantinedAt !== undefined) return false;
-    if (isOldNews(suspect, quarantined)) return false;
-    begin(suspect, quarantined);
+    if (isStale(suspect, quarantined)) return false;
+    startQuarantine(suspect, quarantined);
     return true;
   }
 
   /**
    * A stale record has no longer term than the quarantine that was released.
    */
-  function isOldNews(
-    { releasedAt, releasedTerm }: Known,
+  function isStale(
+    { releasedAt, releasedTerm }: ContentState,
     { term }: QuarantinedContent,
   ): boolean {
-    return clock.now() - releasedAt < RELEASE_LIFETIME && term <= releasedTerm;
+    return clock.now() - releasedAt < RELEASE_TTL && term <= releasedTerm;
   }
 
   function release(content: string): void {
@@ -234,7 +238,7 @@
     suspect.releasedAt = clock.now();
   }
 
-  function noteCompleted(content: string): boolean {
+  function recordCompletion(content: string): boolean {
     const suspect = known.get(content);
     if (suspect === undefined || !isSuspected(suspect)) return false;
     release(content);
@@ -242,9 +246,11 @@
     return true;
   }
 
-  function isSuspected({ quarantinedAt, ends, suspectedAt }: Known): boolean {
+  function isSuspected(
+    { quarantinedAt, ends, suspectedAt }: ContentState,
+  ): boolean {
     return quarantinedAt !== undefined || ends.length > 0 ||
-      clock.now() - suspectedAt < EVIDENCE_LIFETIME;
+      clock.now() - suspectedAt < EVIDENCE_TTL;
   }
 
   function readTimeLeft(content: string): Millis {
@@ -253,62 +259,64 @@
     return Math.max(0, quarantinedAt + term - clock.now());
   }
 
-  function releaseLapsed(): string[] {
-    const lapsed = [...known]
+  function releaseExpired(): string[] {
+    const expired = [...known]
       .filter(([content, { quarantinedAt }]) =>
         quarantinedAt !== undefined && readTimeLeft(content) === 0
       )
       .map(([content]) => content);
-    lapsed.forEach(release);
-    dropForgotten();
-    return lapsed;
+    expired.forEach(release);
+    removeExpired();
+    return expired;
   }
 
-  function dropForgotten(): void {
+  function removeExpired(): void {
     for (const [content, suspect] of known) {
       suspect.ends = suspect.ends.filter(({ at }) =>
         suspect.quarantinedAt !== undefined ||
-        clock.now() - at < EVIDENCE_LIFETIME
+        clock.now() - at < EVIDENCE_TTL
       );
-      const isReleased = clock.now() - suspect.releasedAt < RELEASE_LIFETIME;
+      const isReleased = clock.now() - suspect.releasedAt < RELEASE_TTL;
       if (!isSuspected(suspect) && suspect.term === 0 && !isReleased) {
         known.delete(content);
       }
     }
   }
 
-  function listYoungest() {
+  function listNewestFirst() {
     return [...known].reverse();
   }
 
   return {
     isEmpty: () => known.size === 0,
-    noteEnded,
-    noteCompleted,
-    adopt,
+    noteEnded: recordCrash,
+    noteCompleted: recordCompletion,
+    adopt: mergeQuarantined,
     noteSuspected({ content, age }) {
       if (known.get(content)?.quarantinedAt !== undefined) return;
       const suspect = keep(content);
       const now = clock.now();
-      if (now - suspect.releasedAt < RELEASE_LIFETIME) return;
+      if (now - suspect.releasedAt < RELEASE_TTL) return;
       suspect.suspectedAt = Math.max(suspect.suspectedAt, now - age);
     },
     release,
     readTimeLeft,
-    releaseLapsed,
+    releaseLapsed: releaseExpired,
     chooseQuarantined: (limit) =>
-      listYoungest().flatMap(([content, { quarantinedAt, ends, term }]) => {
-        const age = clock.now() - (quarantinedAt ?? -Infinity);
-        if (age > NEWS_LIFETIME) return [];
-        const endpointKeys = ends.map(({ endpointKey }) => endpointKey);
-        return [{ content, endpointKeys, term }];
-      }).slice(0, limit),
+      listNewestFirst().flatMap(
+        ([content, { quarantinedAt, ends, term }]) => {
+          const age = clock.now() - (quarantinedAt ?? -Infinity);
+          if (age > GOSSIP_TTL) return [];
+          const endpointKeys = ends.map(({ endpointKey }) => endpointKey);
+          return [{ content, endpointKeys, term }];
+        },
+      ).slice(0, limit),
     chooseSuspected: (limit) =>
-      listYoungest().flatMap(([content, suspect]) => {
+      listNewestFirst().flatMap(([content, suspect]) => {
         if (suspect.quarantinedAt !== undefined) return [];
         const lastAt = suspect.ends.at(-1)?.at ?? -Infinity;
         const age = clock.now() - Math.max(lastAt, suspect.suspectedAt);
-        return age > NEWS_LIFETIME ? [] : [{ content, age }];
+        return age > GOSSIP_TTL ? [] : [{ content, age }];
       }).slice(0, limit),
   };
 }
--- a/packages/coordination/src/poison_quarantine_test.ts
+++ b/packages/coordination/src/poison_quarantine_test.ts
@@ -10,7 +10,7 @@
     return { content, endpointKey, sentAgo: 100, endedAgo: 0 };
   }
 
-  async function endThree(content = "c") {
+  async function crashThree(content = "c") {
     const clock = createFakeClock(0);
     const quarantine = createPoisonQuarantine(clock);
     for (const endpointKey of ["e1", "e2", "e3"]) {
@@ -54,7 +54,7 @@
   });
 
   it("accepts a content after its term, and doubles the term each time", async () => {
-    const { clock, quarantine } = await endThree();
+    const { clock, quarantine } = await crashThree();
     const terms: number[] = [];
     for (const endpointKey of ["e4", "e5"]) {
       await clock.advance(quarantine.readTimeLeft("c"));
@@ -67,19 +67,19 @@
   });
 
   it("clears a content that has completed, whatever the evidence", async () => {
-    const { clock, quarantine } = await endThree();
-    const [told] = quarantine.chooseQuarantined(8);
+    const { clock, quarantine } = await crashThree();
+    const [reported] = quarantine.chooseQuarantined(8);
     expect(quarantine.noteCompleted("c")).to.equal(true);
     expect(quarantine.noteCompleted("c")).to.equal(false);
     // A stale record of a peer must not restore the quarantine.
-    expect(quarantine.adopt(told!)).to.equal(false);
+    expect(quarantine.adopt(reported!)).to.equal(false);
     await clock.advance(1_000);
     quarantine.noteEnded(createRun("e9"));
     expect(quarantine.readTimeLeft("c")).to.equal(0);
   });
 
   it("does not count crashes of a known cause against other contents", async () => {
-    const { clock, quarantine } = await endThree();
+    const { clock, quarantine } = await crashThree();
     for (const endpointKey of ["e1", "e2", "e3"]) {
       await clock.advance(1_000);
       quarantine.noteEnded(createRun(endpointKey, "beside"));
@@ -88,7 +88,7 @@
   });
 
   it("is empty again once everything is over", async () => {
-    const { clock, quarantine } = await endThree();
+    const { clock, quarantine } = await crashThree();
     quarantine.noteCompleted("c");
     await clock.advance(2 * MINUTE);
     quarantine.releaseLapsed();
@@ -96,7 +96,7 @@
   });
 
   it("evicts the oldest suspects, never quarantined contents", async () => {
-    const { clock, quarantine } = await endThree();
+    const { clock, quarantine } = await crashThree();
     for (let number = 0; number < 3_000; number++) {
       quarantine.noteEnded(createRun(`e-${number}`, `c-${number}`));
     }
--- a/packages/coordination/src/pool_partition.ts
+++ b/packages/coordination/src/pool_partition.ts
@@ -22,7 +22,7 @@
  * partition must tolerate the loss of one endpoint, and pieces that find its
  * endpoints busy overflow to other partitions.
  */
-const ENDPOINTS_A_PLACE = 2;
+const MIN_ENDPOINTS_PER_PLACE = 2;
 
 /**
  * Pieces go to another partition if its wait is shorter by more than this.
@@ -38,7 +38,7 @@
 const OVERFLOW_CHOICES = 2;
 
 /** The only partition of a pool that is not partitioned by place. */
-export const WHOLE_POOL = "";
+export const UNPARTITIONED = "";
 
 /** Returns the partitions of a pool with these endpoints, sorted by name. */
 export function listPartitions(
@@ -46,8 +46,8 @@
 ): string[] {
   const places = [...new Set(endpoints.map(({ place }) => place))].sort();
   const isDivided = places.length > 1 &&
-    endpoints.length >= ENDPOINTS_A_PLACE * places.length;
-  return isDivided ? places : [WHOLE_POOL];
+    endpoints.length >= MIN_ENDPOINTS_PER_PLACE * places.length;
+  return isDivided ? places : [UNPARTITIONED];
 }
 
 /** Returns the partition of a place, or another one if it has no partition. */
@@ -60,7 +60,7 @@
     key: place,
     readName: (partition) => partition,
   });
-  return chosen ?? WHOLE_POOL;
+  return chosen ?? UNPARTITIONED;
 }
 
 /** Returns the endpoints of a partition, or all if its place has none left. */
@@ -68,8 +68,8 @@
   endpoints: readonly T[],
   partition: string,
 ): readonly T[] {
-  const near = endpoints.filter(({ place }) => place === partition);
-  return near.length > 0 ? near : endpoints;
+  const local = endpoints.filter(({ place }) => place === partition);
+  return local.length > 0 ? local : endpoints;
 }
 
 /** Options of {@linkcode chooseOverflow}. */
@@ -110,7 +110,7 @@
   const ranked = listByRendezvous(
     listStrong(members, ({ capacity }) => capacity),
     {
-      key: partition === WHOLE_POOL ? pool : `${pool}/${partition}`,
+      key: partition === UNPARTITIONED ? pool : `${pool}/${partition}`,
       readName: ({ entry }) => entry,
     },
   );
--- a/packages/coordination/src/pool_partition_test.ts
+++ b/packages/coordination/src/pool_partition_test.ts
@@ -5,7 +5,7 @@
   choosePartition,
   listPartitionEndpoints,
   listPartitions,
-  WHOLE_POOL,
+  UNPARTITIONED,
 } from "./pool_partition.ts";
 
 /** One endpoint for each letter, which names its place. */
@@ -14,9 +14,13 @@
 
 describe("partitions of a stage pool", () => {
   const CASES = [
-    { name: "one endpoint a place", places: "abcd", partitions: [WHOLE_POOL] },
-    { name: "one place", places: "aaaaaa", partitions: [WHOLE_POOL] },
-    { name: "no endpoint", places: "", partitions: [WHOLE_POOL] },
+    {
+      name: "one endpoint a place",
+      places: "abcd",
+      partitions: [UNPARTITIONED],
+    },
+    { name: "one place", places: "aaaaaa", partitions: [UNPARTITIONED] },
+    { name: "no endpoint", places: "", partitions: [UNPARTITIONED] },
     { name: "two a place", places: "aabbcc", partitions: ["a", "b", "c"] },
     { name: "four a place", places: "aaaabbbb", partitions: ["a", "b"] },
     {
@@ -38,7 +42,7 @@
     const other = choosePartition(partitions, "d");
     expect(partitions).to.include(other);
     expect(choosePartition(partitions, "d")).to.equal(other);
-    expect(choosePartition([WHOLE_POOL], "b")).to.equal(WHOLE_POOL);
+    expect(choosePartition([UNPARTITIONED], "b")).to.equal(UNPARTITIONED);
   });
 
   // The last endpoint of a place is removed while pieces wait for it. They
@@ -47,7 +51,7 @@
     const endpoints = createEndpoints("aabb");
     expect(listPartitionEndpoints(endpoints, "a").length).to.equal(2);
     expect(listPartitionEndpoints(endpoints, "c").length).to.equal(4);
-    expect(listPartitionEndpoints(endpoints, WHOLE_POOL).length).to.equal(4);
+    expect(listPartitionEndpoints(endpoints, UNPARTITIONED).length).to.equal(4);
   });
 
   // A place has lost most of its endpoints, or has a burst of its own. Its
--- a/packages/coordination/src/prefix_affinity.ts
+++ b/packages/coordination/src/prefix_affinity.ts
@@ -70,7 +70,7 @@
     if (!oldest.done) prefixes.delete(oldest.value);
   }
 
-  function weakenAll({ prefixes }: EngineCache): void {
+  function applyGapDecay({ prefixes }: EngineCache): void {
     for (const [prefix, time] of prefixes) {
       prefixes.set(prefix, time - GAP_AGING);
     }
@@ -82,7 +82,7 @@
       if (sequence <= engine.lastSequence) continue;
       const isGap = engine.lastSequence >= 0 &&
         sequence > engine.lastSequence + 1;
-      if (isGap) weakenAll(engine);
+      if (isGap) applyGapDecay(engine);
       engine.lastSequence = sequence;
       if (kind === "stored") store(engine, prefix);
       else engine.prefixes.delete(prefix);
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -27,10 +27,10 @@
   members: readonly T[],
   near: string,
 ): T[] {
-  const isNear = ({ place }: T) => place === near;
+  const isLocal = ({ place }: T) => place === near;
   return [
-    ...members.filter(isNear),
-    ...members.filter((member) => !isNear(member)),
+    ...members.filter(isLocal),
+    ...members.filter((member) => !isLocal(member)),
   ];
 }
 
--- a/packages/coordination/src/route_table.ts
+++ b/packages/coordination/src/route_table.ts
@@ -23,9 +23,9 @@
 export function createRouteTable(config: ServingConfig): RouteTable {
   const routes = new Map<string, Map<string, Route>>();
   for (const route of config.routes) {
-    const ofHost = routes.get(route.host) ?? new Map<string, Route>();
-    routes.set(route.host, ofHost);
-    ofHost.set(route.pathPrefix, route);
+    const hostRoutes = routes.get(route.host) ?? new Map<string, Route>();
+    routes.set(route.host, hostRoutes);
+    hostRoutes.set(route.pathPrefix, route);
   }
   const pools = new Map(config.pools.map((pool) => [pool.name, pool]));
   const accounts = new Map(
@@ -35,12 +35,12 @@
   );
 
   function findRoute(host: string, path: string): Route | undefined {
-    const ofHost = routes.get(host);
-    if (ofHost === undefined) return undefined;
+    const hostRoutes = routes.get(host);
+    if (hostRoutes === undefined) return undefined;
     // Prefixes end with a slash, so only those positions can match.
     let end = path.lastIndexOf("/");
     while (end >= 0) {
-      const route = ofHost.get(path.slice(0, end + 1));
+      const route = hostRoutes.get(path.slice(0, end + 1));
       if (route !== undefined) return route;
       end = end === 0 ? -1 : path.lastIndexOf("/", end - 1);
     }
--- a/packages/coordination/src/routing.ts
+++ b/packages/coordination/src/routing.ts
@@ -62,13 +62,13 @@
 
   return (candidates, request) =>
     findCheapest(
-      createTurned(candidates, random),
+      createRotated(candidates, random),
       (view) => estimateCost(view, request),
     );
 }
 
 /** Rotates a list to a random start, so that ties are spread evenly. */
-function createTurned<V>(list: readonly V[], random: () => number): V[] {
+function createRotated<V>(list: readonly V[], random: () => number): V[] {
   const start = Math.floor(random() * list.length);
   return [...list.slice(start), ...list.slice(0, start)];
 }
@@ -76,12 +76,12 @@
 /**
  * Estimates the in-flight work of other entries; decays with the report's age.
  */
-export function estimateOthers(view: EndpointView, now: Millis): number {
+export function estimateOtherInFlight(view: EndpointView, now: Millis): number {
   const { report } = view;
   if (report === undefined) return 0;
   const reported = report.running + report.queued - view.inFlightAtReport;
-  const trust = Math.pow(0.5, (now - report.takenAt) / REPORT_HALF_LIFE);
-  return Math.max(0, reported) * trust;
+  const decay = Math.pow(0.5, (now - report.takenAt) / REPORT_HALF_LIFE);
+  return Math.max(0, reported) * decay;
 }
 
 function findCheapest<V>(
@@ -110,5 +110,5 @@
   random: () => number,
 ): ChooseEndpoint {
   return (candidates) =>
-    findCheapest(createTurned(candidates, random), (view) => view.inFlight);
+    findCheapest(createRotated(candidates, random), (view) => view.inFlight);
 }
--- a/packages/coordination/src/sender_rank.ts
+++ b/packages/coordination/src/sender_rank.ts
@@ -26,7 +26,7 @@
   listSenders: (endpoint: EndpointInfo) => readonly string[] | undefined;
 }
 
-interface KnownRank {
+interface CachedRank {
   rank: number;
   rankedAt: Millis;
 }
@@ -34,15 +34,15 @@
 /**
  * Ranks are cached: ranking hundreds of entries per request is too expensive.
  */
-const RANK_LIFETIME: Millis = 500;
+const RANK_TTL: Millis = 500;
 /** Maximum number of cached ranks; evicts the oldest. */
-const MAX_KNOWN = 256;
+const MAX_RANKS = 256;
 
 /** Creates the rank lookup, with a cache. */
 export function createSenderRank(
   { clock, entry, listSenders }: SenderRankOptions,
 ): FindSenderRank {
-  const known = new Map<string, KnownRank>();
+  const known = new Map<string, CachedRank>();
 
   function computeRank(endpoint: EndpointInfo): number {
     const rank = listSenders(endpoint)?.indexOf(entry) ?? -1;
@@ -52,12 +52,12 @@
   return (endpoint) => {
     const key = formatEndpointKey(endpoint);
     const now = clock.now();
-    const present = known.get(key);
-    if (present !== undefined && now - present.rankedAt < RANK_LIFETIME) {
-      return present.rank;
+    const cached = known.get(key);
+    if (cached !== undefined && now - cached.rankedAt < RANK_TTL) {
+      return cached.rank;
     }
     const rank = computeRank(endpoint);
-    putBounded(known, [key, { rank, rankedAt: now }], MAX_KNOWN);
+    putBounded(known, [key, { rank, rankedAt: now }], MAX_RANKS);
     return rank;
   };
 }
--- a/packages/coordination/src/stage_plan.ts
+++ b/packages/coordination/src/stage_plan.ts
@@ -24,7 +24,7 @@
 /**
  * Delay of a request that is accepted so that results are stored for less time.
  */
-const DELAY_ALLOWED: Millis = 100;
+const MAX_ADDED_DELAY: Millis = 100;
 
 /** Plans the stages of a request; `durations` are their expected times. */
 export function planStages(
@@ -33,25 +33,29 @@
 ): PlannedStage[] {
   const numbers = stages.map((_, number) => number);
   const readDuration = (number: number) => durations[number] ?? 0;
-  const behind = new Map<number, Millis>();
+  const downstream = new Map<number, Millis>();
 
-  function computeBehind(number: number): Millis {
-    const known = behind.get(number);
+  function computeDownstream(number: number): Millis {
+    const known = downstream.get(number);
     if (known !== undefined) return known;
-    const users = numbers.filter((user) =>
+    const dependents = numbers.filter((user) =>
       user > number && stages[user]?.after.includes(number)
     );
-    const times = users.map((user) => readDuration(user) + computeBehind(user));
+    const times = dependents.map((user) =>
+      readDuration(user) + computeDownstream(user)
+    );
     const longest = Math.max(0, ...times);
-    behind.set(number, longest);
+    downstream.set(number, longest);
     return longest;
   }
 
   const total = Math.max(
     0,
-    ...numbers.map((number) => readDuration(number) + computeBehind(number)),
+    ...numbers.map((number) =>
+      readDuration(number) + computeDownstream(number)
+    ),
   );
-  const readLatestEnd = (number: number) => total - computeBehind(number);
+  const readLatestEnd = (number: number) => total - computeDownstream(number);
   const readLatestStart = (number: number) =>
     readLatestEnd(number) - readDuration(number);
 
@@ -59,10 +63,10 @@
     const earlier = numbers.filter((other) =>
       other !== number && readDuration(other) > 0 &&
       readLatestStart(other) < readLatestStart(number) &&
-      readLatestEnd(other) <= readLatestStart(number) + DELAY_ALLOWED
+      readLatestEnd(other) <= readLatestStart(number) + MAX_ADDED_DELAY
     );
-    const waitsFor = [...new Set([...after, ...earlier])];
-    return { waitsFor, timeBehind: computeBehind(number) };
+    const dependencies = [...new Set([...after, ...earlier])];
+    return { waitsFor: dependencies, timeBehind: computeDownstream(number) };
   });
 }
 
--- a/packages/coordination/src/stage_pool.ts
+++ b/packages/coordination/src/stage_pool.ts
@@ -20,7 +20,7 @@
 import { createLatencyModel } from "./latency_model.ts";
 import type { SendAllowance } from "./send_allowance.ts";
 import type { ChooseEndpoint, EndpointView } from "./routing.ts";
-import { estimateOthers } from "./routing.ts";
+import { estimateOtherInFlight } from "./routing.ts";
 import type { WorkClass } from "./work_queue.ts";
 import { createWorkQueue } from "./work_queue.ts";
 
@@ -137,24 +137,24 @@
   settle(outcome: Result<Permit, Failure>): void;
 }
 
-interface MeasuredRatio {
+interface LatencyRatio {
   value: number;
   at: Millis;
 }
 
-const START_LIMIT = 4;
+const INITIAL_LIMIT = 4;
 const MAX_LIMIT = 64;
 const MAX_QUEUED = 2_000;
 const EJECTION_CHECK_INTERVAL: Millis = 200;
 /** How often queued work retries while no endpoint can be used. */
 const RECHECK_INTERVAL: Millis = 50;
 /** Load reports older than this are ignored. */
-const REPORT_LIFETIME: Millis = 5_000;
+const MAX_REPORT_AGE: Millis = 5_000;
 /**
  * What the highest priority may queue at an endpoint, in multiples of its
  * slots.
  */
-const QUEUED_SHARE = 3;
+const MAX_QUEUED_FACTOR = 3;
 /** The limit in the status is the one for the least important work. */
 const LOWEST_PRIORITY = 100;
 /** With less work waiting, the rate of grants is not significant. */
@@ -162,7 +162,7 @@
 /** Grants a second assumed if none were seen recently. */
 const MIN_GRANT_RATE = 0.2;
 const RATIO_WEIGHT = 0.1;
-const RATIO_LIFETIME: Millis = 3_000;
+const RATIO_DECAY_TIME: Millis = 3_000;
 const DURATION_WEIGHT = 0.05;
 const RETRY_AFTER_NO_ENDPOINT: Millis = 1_000;
 
@@ -175,7 +175,7 @@
   const inProgress = new Map<string, number>();
   const latencies = createLatencyModel();
   /** Recent latency relative to the unloaded latency, by priority. */
-  const ratios = new Map<number, MeasuredRatio>();
+  const ratios = new Map<number, LatencyRatio>();
   const queue = createWorkQueue<Waiter>({
     estimateAttainment,
     countInProgress: (account) => inProgress.get(account) ?? 0,
@@ -210,7 +210,7 @@
       inFlightAtReport: 0,
       limit: createConcurrencyLimit({
         clock,
-        start: START_LIMIT,
+        start: INITIAL_LIMIT,
         max: MAX_LIMIT,
       }),
       health,
@@ -220,7 +220,7 @@
     };
   }
 
-  function listInUse(): Slot[] {
+  function listHealthy(): Slot[] {
     const all = [...slots.values()];
     if (!policy.hasEjection) return all;
     const healthy = all.filter(({ health }) => !health.isEjected());
@@ -233,7 +233,7 @@
     { workClass }: PoolWork,
     avoid: readonly EndpointInfo[],
   ): Slot[] {
-    return listInUse().filter((slot) =>
+    return listHealthy().filter((slot) =>
       !avoid.includes(slot.info) &&
       (allowance?.mayBegin(slot.info) ?? true) &&
       (!policy.hasLimits ||
@@ -251,11 +251,11 @@
   function readLimit(slot: Slot, priority: number): number {
     const { report } = slot;
     const now = clock.now();
-    if (report === undefined || now - report.takenAt > REPORT_LIFETIME) {
+    if (report === undefined || now - report.takenAt > MAX_REPORT_AGE) {
       return slot.limit.value;
     }
-    const room = report.slots * (1 + QUEUED_SHARE / priority ** 3) -
-      estimateOthers(slot, now);
+    const room = report.slots * (1 + MAX_QUEUED_FACTOR / priority ** 3) -
+      estimateOtherInFlight(slot, now);
     return Math.max(1, Math.floor(room));
   }
 
@@ -271,7 +271,7 @@
   function grant(slot: Slot, work: PoolWork): Permit {
     const startedAt = clock.now();
     let isReleased = false;
-    noteGrant(work.workClass);
+    recordGrant(work.workClass);
     slot.inFlight++;
     inFlight++;
     allowance?.begin(slot.info);
@@ -293,35 +293,35 @@
       if (pause !== undefined) onPause?.(slot.info, pause);
       slot.inFlight--;
       inFlight--;
-      dropInProgress(work.account);
+      removeInProgress(work.account);
       const duration = clock.now() - startedAt;
-      if (end === "done") noteDuration(duration);
-      noteEnd(slot, { end, size: work.size, duration });
+      if (end === "done") recordDuration(duration);
+      recordOutcome(slot, { end, size: work.size, duration });
       dispatch();
     }
 
     return { endpoint: slot.info, recordLatency, release };
   }
 
-  function noteGrant({ priority }: WorkClass): void {
+  function recordGrant({ priority }: WorkClass): void {
     const rate = grants.get(priority) ?? createEventRate(clock);
     grants.set(priority, rate);
     rate.record();
   }
 
-  function noteDuration(duration: Millis): void {
+  function recordDuration(duration: Millis): void {
     meanDuration = meanDuration === 0
       ? duration
       : meanDuration + DURATION_WEIGHT * (duration - meanDuration);
   }
 
-  function dropInProgress(account: string): void {
+  function removeInProgress(account: string): void {
     const count = (inProgress.get(account) ?? 1) - 1;
     if (count === 0) inProgress.delete(account);
     else inProgress.set(account, count);
   }
 
-  function noteEnd(
+  function recordOutcome(
     slot: Slot,
     { end, size, duration }: {
       end: AttemptEnd;
@@ -364,7 +364,7 @@
       queue.remove(waiter);
       waiter.settle(
         slot === undefined
-          ? Result.err(failEmpty())
+          ? Result.err(failNoEndpoint())
           : Result.ok(grant(slot, waiter)),
       );
     }
@@ -379,15 +379,15 @@
   }
 
   function acquire(work: PoolWork): Promise<Result<Permit, Failure>> {
-    if (slots.size === 0) return Promise.resolve(Result.err(failEmpty()));
+    if (slots.size === 0) return Promise.resolve(Result.err(failNoEndpoint()));
     // New work must not overtake queued work.
     const slot = queue.size === 0 ? choose(work, []) : undefined;
     if (slot !== undefined) {
       return Promise.resolve(Result.ok(grant(slot, work)));
     }
     const shortest = readShortestWait();
-    if (shortest > computeLatest(work)) {
-      return Promise.resolve(Result.err(failHeldBack(shortest)));
+    if (shortest > computeMaxWait(work)) {
+      return Promise.resolve(Result.err(failThrottled(shortest)));
     }
     if (queue.size >= MAX_QUEUED) {
       return Promise.resolve(Result.err(failOverloaded("the queue is full")));
@@ -402,12 +402,12 @@
   }
 
   /** Returns how long work may wait and still meet its deadline. */
-  function computeLatest({ deadline, reserve, size }: PoolWork): Millis {
+  function computeMaxWait({ deadline, reserve, size }: PoolWork): Millis {
     return deadline.remaining() - reserve - latencies.estimateUnloaded(size);
   }
 
   /** Names the wait of this entry; other entries may be able to call sooner. */
-  function failHeldBack(wait: Millis): Failure {
+  function failThrottled(wait: Millis): Failure {
     return createFailure("overloaded", {
       verdict: "not_run",
       message: "no endpoint takes work",
@@ -419,10 +419,10 @@
     const { deadline } = work;
     return new Promise((resolve) => {
       const stopTimer = clock.startTimer(
-        computeLatest(work),
-        () => giveUp(failOverloaded("no endpoint came free in time")),
+        computeMaxWait(work),
+        () => reject(failOverloaded("no endpoint came free in time")),
       );
-      const onAbort = () => giveUp(failCancelled());
+      const onAbort = () => reject(failCancelled());
       const waiter: Waiter = {
         ...work,
         settle(outcome) {
@@ -431,7 +431,7 @@
           resolve(outcome);
         },
       };
-      function giveUp(failure: Failure): void {
+      function reject(failure: Failure): void {
         queue.remove(waiter);
         waiter.settle(Result.err(failure));
       }
@@ -465,7 +465,7 @@
     if (known === undefined) return unloaded;
     // Refused work yields no samples, so without decay a high estimate would
     // cause refusals for ever.
-    const trust = Math.exp((known.at - clock.now()) / RATIO_LIFETIME);
+    const trust = Math.exp((known.at - clock.now()) / RATIO_DECAY_TIME);
     return unloaded * (1 + (known.value - 1) * trust);
   }
 
@@ -476,7 +476,7 @@
   function estimateWait(priority: number): Millis {
     if (queue.size === 0 || inFlight === 0) return 0;
     const byDuration = queue.countAhead(priority) * meanDuration / inFlight;
-    const same = queue.countSame(priority);
+    const same = queue.countAtPriority(priority);
     if (same < MIN_WAITING) return byDuration;
     const rate = Math.max(MIN_GRANT_RATE, grants.get(priority)?.read() ?? 0);
     return Math.max(byDuration, 1_000 * same / rate);
@@ -513,7 +513,7 @@
   };
 }
 
-function failEmpty(): Failure {
+function failNoEndpoint(): Failure {
   return createFailure("unavailable", {
     verdict: "not_run",
     message: "no endpoint of the pool takes new work",
--- a/packages/coordination/src/work_queue.ts
+++ b/packages/coordination/src/work_queue.ts
@@ -37,7 +37,7 @@
   /** Counts the work that goes before new work of `priority`. */
   countAhead(priority: number): number;
   /** Counts the queued work of exactly this priority. */
-  countSame(priority: number): number;
+  countAtPriority(priority: number): number;
 }
 
 /** Options of {@linkcode createWorkQueue}. */
@@ -132,7 +132,7 @@
     return ahead;
   }
 
-  function countSame(priority: number): number {
+  function countAtPriority(priority: number): number {
     let same = 0;
     for (const { workClass, size } of classes.values()) {
       if (workClass.priority === priority) same += size;
@@ -148,6 +148,6 @@
     remove,
     peek,
     countAhead,
-    countSame,
+    countAtPriority,
   };
 }
