--- a/packages/coordination/src/piece_batcher.ts
+++ b/packages/coordination/src/piece_batcher.ts
@@ -187,11 +187,11 @@
 
   function hasStorage(
     piece: P,
-    { roomTaken, roomLeft }: { roomTaken: number; roomLeft: number },
+    { roomTaken, storageLeft }: { roomTaken: number; storageLeft: number },
   ): boolean {
     // A group larger than the storage of an endpoint may start on an empty one.
-    if (roomTaken === 0) return piece.resultBytes <= roomLeft;
-    return computeNeededStorage(piece) <= roomLeft;
+    if (roomTaken === 0) return piece.resultBytes <= storageLeft;
+    return computeNeededStorage(piece) <= storageLeft;
   }
 
   /**
@@ -205,7 +205,10 @@
     const fitting = listFast(
       free.filter(({ info, roomTaken }) =>
         !piece.avoid.has(info.id) &&
-        hasStorage(piece, { roomTaken, roomLeft: spec.roomBytes - roomTaken })
+        hasStorage(piece, {
+          roomTaken,
+          storageLeft: spec.roomBytes - roomTaken,
+        })
       ),
     );
     const local = fitting.filter(({ info }) => info.place === piece.place);
@@ -234,10 +237,10 @@
         if (chosen.size >= spec.maxPieces) return;
         if (!mayShareCall(first, piece)) continue;
         if (chosen.has(piece) || piece.avoid.has(endpoint.info.id)) continue;
-        const roomLeft = spec.roomBytes - roomTaken;
+        const storageLeft = spec.roomBytes - roomTaken;
         const fits = startedGroups.has(piece.group)
-          ? piece.resultBytes <= roomLeft
-          : hasStorage(piece, { roomTaken, roomLeft });
+          ? piece.resultBytes <= storageLeft
+          : hasStorage(piece, { roomTaken, storageLeft });
         if (!fits) continue;
         startedGroups.add(piece.group);
         roomTaken += piece.resultBytes;
--- a/packages/coordination/src/poison_quarantine.ts
+++ b/packages/coordination/src/poison_quarantine.ts
@@ -119,6 +119,7 @@
   /** By content, in the order of the last change. */
   const known = new Map<string, ContentState>();
 
+  /** Returns the state of a content, created if missing, moved to the end. */
   function keep(content: string): ContentState {
     const state = known.get(content) ?? {
       ends: [],
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -25,9 +25,9 @@
 /** Lists the members of a place first, as traffic between places has a cost. */
 export function listNearFirst<T extends { place: string }>(
   members: readonly T[],
-  near: string,
+  localPlace: string,
 ): T[] {
-  const isLocal = ({ place }: T) => place === near;
+  const isLocal = ({ place }: T) => place === localPlace;
   return [
     ...members.filter(isLocal),
     ...members.filter((member) => !isLocal(member)),
--- a/packages/coordination/src/stage_pool.ts
+++ b/packages/coordination/src/stage_pool.ts
@@ -107,9 +107,10 @@
   /** Waits for a slot; a failure always has the verdict `not_run`. */
   acquire(work: PoolWork): Promise<Result<Permit, Failure>>;
   /**
-   * Takes a slot without waiting at an endpoint not in `avoid`, if one is free.
+   * Takes a slot without waiting at an endpoint not in `excluded`, if one is
+   * free.
    */
-  tryAcquire(work: PoolWork, avoid: readonly EndpointInfo[]):
+  tryAcquire(work: PoolWork, excluded: readonly EndpointInfo[]):
     | Permit
     | undefined;
   /** Estimates the queueing time of new work of a priority. */
@@ -123,6 +124,7 @@
   readStatus(): PoolStatus;
 }
 
+/** The state of one endpoint of the pool. */
 interface Slot extends EndpointView {
   info: EndpointInfo;
   inFlight: number;
@@ -231,10 +233,10 @@
 
   function findFree(
     { workClass }: PoolWork,
-    avoid: readonly EndpointInfo[],
+    excluded: readonly EndpointInfo[],
   ): Slot[] {
     return listHealthy().filter((slot) =>
-      !avoid.includes(slot.info) &&
+      !excluded.includes(slot.info) &&
       (allowance?.mayBegin(slot.info) ?? true) &&
       (!policy.hasLimits ||
         slot.inFlight < readLimit(slot, workClass.priority))
@@ -261,9 +263,9 @@
 
   function choose(
     work: PoolWork,
-    avoid: readonly EndpointInfo[],
+    excluded: readonly EndpointInfo[],
   ): Slot | undefined {
-    const free = findFree(work, avoid);
+    const free = findFree(work, excluded);
     const { affinity } = work;
     return policy.choose(free, affinity === undefined ? {} : { affinity });
   }
@@ -451,10 +453,10 @@
 
   function tryAcquire(
     work: PoolWork,
-    avoid: readonly EndpointInfo[],
+    excluded: readonly EndpointInfo[],
   ): Permit | undefined {
     if (queue.size > 0) return undefined;
-    const slot = choose(work, avoid);
+    const slot = choose(work, excluded);
     return slot && grant(slot, work);
   }
 
--- a/packages/coordination/src/stage_pool_limit_test.ts
+++ b/packages/coordination/src/stage_pool_limit_test.ts
@@ -123,7 +123,7 @@
     createEntryPool(clock, { entry, entries: names, endpoints, random })
   );
 
-  async function call(pool: StagePool, note: (info: EndpointInfo) => void) {
+  async function call(pool: StagePool, onAnswer: (info: EndpointInfo) => void) {
     const startedAt = clock.now();
     const permit = await pool.acquire(createWork(clock));
     if (permit.isErr) {
@@ -133,7 +133,7 @@
     const { endpoint } = permit.value;
     arrivals.push({ id: endpoint.id, at: clock.now() });
     await clock.sleep(WORK_TIME);
-    note(endpoint);
+    onAnswer(endpoint);
     permit.value.release("done");
   }
 
--- a/packages/coordination/src/stage_pool_test.ts
+++ b/packages/coordination/src/stage_pool_test.ts
@@ -153,7 +153,7 @@
       .to.be.below(1.1 * pool.estimateUnloaded(100));
   });
 
-  it("leaves the queue when the caller goes away", async () => {
+  it("leaves the queue when the caller disconnects", async () => {
     pool.refresh([endpoint("e1")]);
     await fill();
     const gone = work();
@@ -173,17 +173,22 @@
 
   it("ejects a dead endpoint and tries it again later", async () => {
     pool.refresh([endpoint("e1"), endpoint("e2")]);
-    const take = async () => {
+    const acquireId = async () => {
       const permit = await pool.acquire(work());
       if (permit.isErr) return "none";
       const { id } = permit.value.endpoint;
       permit.value.release(id === "e1" ? "unreachable" : "done");
       return id;
     };
-    const before = [await take(), await take(), await take(), await take()];
+    const before = [
+      await acquireId(),
+      await acquireId(),
+      await acquireId(),
+      await acquireId(),
+    ];
     expect(before.filter((id) => id === "e1").length).to.equal(1);
     await clock.advance(1_001);
-    expect([await take(), await take()]).to.include("e1");
+    expect([await acquireId(), await acquireId()]).to.include("e1");
   });
 
   it("subtracts the work of other entries in the endpoint's last report", () => {
