--- a/packages/coordination/src/piece_batcher_test.ts
+++ b/packages/coordination/src/piece_batcher_test.ts
@@ -162,11 +162,11 @@
 
   it("drops pieces that no call could complete in time", () => {
     const { batcher } = create([
-      createPiece("hopeless", { dueAt: 1_200 }),
-      createPiece("possible", { dueAt: 1_225 }),
+      createPiece("infeasible", { dueAt: 1_200 }),
+      createPiece("feasible", { dueAt: 1_225 }),
     ]);
     expect(batcher.dropLate(1_000, forecast).map(({ name }) => name))
-      .to.deep.equal(["hopeless"]);
+      .to.deep.equal(["infeasible"]);
     expect(batcher.size).to.equal(1);
   });
 
