--- a/packages/coordination/src/outcome_table.ts
+++ b/packages/coordination/src/outcome_table.ts
@@ -1,10 +1,10 @@
 /**
- * What one entry incarnation remembers of the non-idempotent requests that only
- * it may run, so that none runs twice.
+ * The outcomes of the non-idempotent requests that only this entry incarnation
+ * may run, kept so that none of them runs twice.
  *
- * Failure guarded against: the answer is lost, the caller sends the same id
- * again. It shows as a second submission. The guard holds because a record is
- * kept until the id itself is refused as expired, by the same clock.
+ * Guards against a duplicate run when the answer is lost and the caller sends
+ * the same id again. A record is kept until the id itself is refused as
+ * expired, by the same clock.
  *
  * @module
  */
@@ -12,30 +12,34 @@
 import type { RequestKey } from "./request_id.ts";
 import { formatRequestKey } from "./request_id.ts";
 
-/** What is known when a request is to begin. */
-export type BeginOutcome<T> =
-  /** Nothing known: the caller of `begin` now owns the run and must finish it. */
+/** The result of {@linkcode OutcomeTable.begin}. */
+export type BeginResult<T> =
+  /**
+   * A new request: the caller of `begin` now owns the run and must finish it.
+   */
   | { kind: "fresh"; run: OwnedRun<T> }
-  /** It runs or has run; the outcome is or will be there. */
+  /**
+   * The request is running or has run; `outcome` resolves when it has ended.
+   */
   | { kind: "known"; outcome: Promise<T> }
-  /** It was forbidden before it ran: it never ran and never will. */
+  /** The request was forbidden before it ran: it never ran and never will. */
   | { kind: "forbidden" }
-  /** No room; nothing was recorded, nothing ran. */
+  /** The table is full; nothing was recorded, nothing ran. */
   | { kind: "full" };
 
 /** The right to run a request once. */
 export interface OwnedRun<T> {
-  /** Records the outcome for those who ask again. */
+  /** Records the outcome for repeated requests. */
   finish(outcome: T): void;
   /**
-   * Gives the run back: nothing was dispatched, a later attempt may run. Those
-   * who already wait get `outcome`.
+   * Releases the run: nothing was dispatched, so a later attempt may run.
+   * Requests that already wait get `outcome`.
    */
   abandon(outcome: T): void;
 }
 
-/** What {@linkcode OutcomeTable.forbid} found. */
-export type ForbidOutcome<T> =
+/** The result of {@linkcode OutcomeTable.forbid}. */
+export type ForbidResult<T> =
   | { kind: "forbidden" }
   | { kind: "known"; outcome: Promise<T> }
   | { kind: "full" };
@@ -43,16 +47,16 @@
 /** Options of {@linkcode createOutcomeTable}. */
 export interface OutcomeTableOptions {
   clock: Clock;
-  /** Records held at most; the bound on memory. */
+  /** Maximum number of records; bounds the memory. */
   capacity: number;
 }
 
-/** The records of one entry incarnation. */
+/** The outcome records of one entry incarnation. */
 export interface OutcomeTable<T> {
   readonly size: number;
-  begin(key: RequestKey, keepUntil: Millis): BeginOutcome<T>;
-  /** Makes sure that an unseen request will never run here. */
-  forbid(key: RequestKey, keepUntil: Millis): ForbidOutcome<T>;
+  begin(key: RequestKey, keepUntil: Millis): BeginResult<T>;
+  /** Ensures that a request which has not begun will never run here. */
+  forbid(key: RequestKey, keepUntil: Millis): ForbidResult<T>;
 }
 
 interface OutcomeRecord<T> {
@@ -78,8 +82,11 @@
     }
   }
 
-  /** What is known of a request, or that there is no room for a new one. */
-  function findSeen(key: RequestKey): ForbidOutcome<T> | undefined {
+  /**
+   * Returns the record of a request, or `full` if there is no room for a new
+   * one.
+   */
+  function findExisting(key: RequestKey): ForbidResult<T> | undefined {
     dropExpired();
     const record = records.get(formatRequestKey(key));
     if (record?.outcome !== undefined) {
@@ -89,11 +96,11 @@
     return records.size >= capacity ? { kind: "full" } : undefined;
   }
 
-  function begin(key: RequestKey, keepUntil: Millis): BeginOutcome<T> {
-    const seen = findSeen(key);
-    if (seen !== undefined) return seen;
+  function begin(key: RequestKey, keepUntil: Millis): BeginResult<T> {
+    const existing = findExisting(key);
+    if (existing !== undefined) return existing;
     const text = formatRequestKey(key);
-    const { promise, resolve } = createResolvable<T>();
+    const { promise, resolve } = createDeferred<T>();
     records.set(text, { keepUntil, outcome: promise });
     const run: OwnedRun<T> = {
       finish: resolve,
@@ -105,9 +112,9 @@
     return { kind: "fresh", run };
   }
 
-  function forbid(key: RequestKey, keepUntil: Millis): ForbidOutcome<T> {
-    const seen = findSeen(key);
-    if (seen !== undefined) return seen;
+  function forbid(key: RequestKey, keepUntil: Millis): ForbidResult<T> {
+    const existing = findExisting(key);
+    if (existing !== undefined) return existing;
     const text = formatRequestKey(key);
     records.set(text, { keepUntil, outcome: undefined });
     return { kind: "forbidden" };
@@ -122,7 +129,7 @@
   };
 }
 
-function createResolvable<T>() {
+function createDeferred<T>() {
   let resolve!: (value: T) => void;
   const promise = new Promise<T>((done) => resolve = done);
   return { promise, resolve };
--- a/packages/coordination/src/piece_batcher.ts
+++ b/packages/coordination/src/piece_batcher.ts
@@ -1,65 +1,67 @@
 /**
- * Decides which pieces of stage work go together into one call, when, and to
- * which endpoint.
+ * Batches pieces of stage work into calls, and decides when and to which
+ * endpoint each call is sent.
  *
- * A call costs a fixed time whatever it holds, so under load calls must be full.
- * While an endpoint is free nothing waits for company: pieces gather by
- * themselves while all endpoints are busy.
+ * A call has a fixed cost whatever its size, so under load calls must be full.
+ * Pieces are never delayed to fill a batch while an endpoint is free: batches
+ * form while all endpoints are busy.
  *
- * What can still meet its objective goes first, then by priority, then what is
- * due first: in a burst, first come first served makes everybody late. An
- * endpoint holds results until they are freed, so room binds as often as time.
- * Requests of which some pieces are made go before others, and a request begins
- * only where all its pieces have room: half-made ones would fill the room with
- * results that nobody can use yet.
+ * Pieces that can still meet their latency objective go first, then by
+ * priority, then by the earliest objective: in a burst, first come first served
+ * makes every request late. An endpoint stores results until they are freed, so
+ * its result storage limits throughput as often as time does. Requests with
+ * started pieces go before others, and a request begins only at an endpoint
+ * with storage for all its results: incomplete requests would fill the storage
+ * with results that cannot be used yet.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 import type { EndpointInfo } from "./endpoint.ts";
-import { listNearWaiting } from "./near_place.ts";
-import type { FlowForecast, PieceWaits } from "./piece_flow.ts";
+import { listLocalityWaiting } from "./locality_wait.ts";
+import type { PieceWaits, WaitForecast } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /** The pieces of one stage of one request. */
 export interface PieceGroup {
-  /** Pieces that are in a call or made. */
+  /** Pieces that are in a call or completed. */
   started: number;
 }
 
-/** One piece of work that waits for a call. */
+/** A piece of work that waits for a call. */
 export interface WaitingPiece {
   readonly group: PieceGroup;
   /** 0 is the highest. */
   priority: number;
   /** After this time its request misses its latency objective. */
   onTimeAt: Millis;
-  /** After this time its result is of no use. */
+  /** Deadline: after this time its result is of no use. */
   dueAt: Millis;
-  /** Where its inputs lie, or its result will be fetched to. */
+  /** The place of its inputs, or of the engine that will fetch its result. */
   place: string | undefined;
   resultBytes: number;
-  /** What crosses between places if it is made in another place than its own. */
+  /** Bytes transferred between places if it runs outside its own place. */
   movedBytes: number;
-  /** Endpoints that failed it already. */
+  /** Endpoints that already failed to run it. */
   avoid: ReadonlySet<string>;
   /**
-   * Endpoints ended under calls with it, so it shares its next call with pieces
-   * of its own request only: either it completes there, or it is the cause.
+   * Whether it may share a call only with pieces of its own request. Set after
+   * endpoints crashed during calls with it: in a call of its own it either
+   * completes or is shown to be the cause.
    */
   readonly isAlone?: boolean;
 }
 
-/** What the batcher knows of an endpoint. */
+/** The batcher's view of an endpoint. */
 export interface BatchEndpoint {
   readonly info: EndpointInfo;
   /** Calls in progress there. */
   readonly calls: number;
-  /** Bytes of results that it holds or is about to. */
+  /** Bytes of results that it stores or will store after its current calls. */
   readonly roomTaken: number;
-  /** How slow it is against what is expected; 1 is normal. */
+  /** Observed latency relative to the expected latency; 1 is normal. */
   readonly slowness: number;
-  /** When its calls in progress are expected to end. */
+  /** Expected end of its calls in progress. */
   readonly freeAt: Millis;
 }
 
@@ -69,32 +71,32 @@
   pieces: P[];
 }
 
-/** The pieces that wait at one feeder for endpoints of one pool. */
+/** The pieces that wait at one dispatcher for the endpoints of one pool. */
 export interface PieceBatcher<P extends WaitingPiece> {
   readonly size: number;
   add(piece: P): void;
   remove(piece: P): void;
   /**
-   * Takes out the pieces that cannot be finished in time behind those before
-   * them: whoever waits for them learns at once, and not at the deadline.
+   * Removes and returns the pieces that would miss their deadline behind those
+   * ahead of them, so that their callers learn it now and not at the deadline.
    */
-  dropLate(now: Millis, forecast: FlowForecast): P[];
-  /** Takes out the pieces of the next call, if one can be made now. */
+  dropLate(now: Millis, forecast: WaitForecast): P[];
+  /** Removes and returns the pieces of the next call, if one can start now. */
   planCall<E extends BatchEndpoint>(
     endpoints: readonly E[],
     options: { now: Millis; isStrained: boolean },
   ): PlannedCall<P, E> | undefined;
-  /** Expected times until a new piece of this priority is in a call. */
+  /** Estimates the times until a new piece of this priority is in a call. */
   estimateWaits(
     priority: number,
-    { now, forecast }: { now: Millis; forecast: FlowForecast },
+    { now, forecast }: { now: Millis; forecast: WaitForecast },
   ): PieceWaits;
 }
 
-/** An endpoint this many times slower than the fastest free one waits. */
-const SLOW_FACTOR = 2.5;
+/** An endpoint this many times slower than the fastest free one is not used. */
+const MAX_SLOWDOWN_FACTOR = 2.5;
 
-/** Creates an empty batcher; the specification is read anew for each call. */
+/** Creates an empty batcher; reads the specification again for each call. */
 export function createPieceBatcher<P extends WaitingPiece>(
   readSpec: () => BatchSpec,
 ): PieceBatcher<P> {
@@ -104,8 +106,8 @@
     waiting.push(piece);
   }
 
-  /** Lateness and started groups change with time, so the order does. */
-  function refreshOrder(now: Millis, spec: BatchSpec): void {
+  /** Sorts again, because lateness and started groups change over time. */
+  function sortWaiting(now: Millis, spec: BatchSpec): void {
     const ranked = waiting.map((piece) => ({
       piece,
       late: isLate(piece, { now, spec }),
@@ -121,21 +123,21 @@
     if (index >= 0) waiting.splice(index, 1);
   }
 
-  function dropLate(now: Millis, forecast: FlowForecast): P[] {
+  function dropInfeasible(now: Millis, forecast: WaitForecast): P[] {
     const spec = readSpec();
     const { callTime, pieceTime } = spec;
-    refreshOrder(now, spec);
-    const hopeless: P[] = [];
+    sortWaiting(now, spec);
+    const infeasible: P[] = [];
     const kept: P[] = [];
     for (const piece of waiting) {
       const wait = isLate(piece, { now, spec })
         ? forecast.estimateLate(kept.length)
         : forecast.estimateOnTime(kept.length, piece.priority);
-      const isHopeless = now + wait + callTime + pieceTime > piece.dueAt;
-      (isHopeless ? hopeless : kept).push(piece);
+      const isInfeasible = now + wait + callTime + pieceTime > piece.dueAt;
+      (isInfeasible ? infeasible : kept).push(piece);
     }
     waiting = kept;
-    return hopeless;
+    return infeasible;
   }
 
   function planCall<E extends BatchEndpoint>(
@@ -145,15 +147,19 @@
     const spec = readSpec();
     const free = endpoints.filter(({ calls }) => calls < spec.slots);
     if (free.length === 0) return undefined;
-    refreshOrder(now, spec);
-    const nearWaiting = listNearWaiting(waiting, { endpoints, now, spec });
+    sortWaiting(now, spec);
+    const localityWaiting = listLocalityWaiting(waiting, {
+      endpoints,
+      now,
+      spec,
+    });
     for (const first of waiting) {
-      const isNearFree = free.some(({ info }) => info.place === first.place);
-      if (!isNearFree && nearWaiting.has(first)) continue;
+      const isLocalFree = free.some(({ info }) => info.place === first.place);
+      if (!isLocalFree && localityWaiting.has(first)) continue;
       const endpoint = chooseEndpoint(first, { free, spec });
       if (endpoint === undefined) continue;
       const mayWait = (piece: P) =>
-        piece.place !== endpoint.info.place && nearWaiting.has(piece);
+        piece.place !== endpoint.info.place && localityWaiting.has(piece);
       const pieces = choosePieces(first, {
         endpoint,
         mayWait,
@@ -168,24 +174,30 @@
     return undefined;
   }
 
-  /** Room for a piece: for all of its group if that has not begun. */
-  function sumNeeded(piece: P): number {
+  /**
+   * Returns the storage that a piece needs: for its whole group if none has
+   * started.
+   */
+  function computeNeededStorage(piece: P): number {
     const { group, resultBytes } = piece;
     if (group.started > 0) return resultBytes;
     return waiting.filter((other) => other.group === group)
       .reduce((sum, other) => sum + other.resultBytes, 0);
   }
 
-  function hasRoom(
+  function hasStorage(
     piece: P,
-    { roomTaken, roomLeft }: { roomTaken: number; roomLeft: number },
+    { roomTaken, storageLeft }: { roomTaken: number; storageLeft: number },
   ): boolean {
-    // A group that is larger than an empty endpoint begins all the same.
-    if (roomTaken === 0) return piece.resultBytes <= roomLeft;
-    return sumNeeded(piece) <= roomLeft;
+    // A group larger than the storage of an endpoint may start on an empty one.
+    if (roomTaken === 0) return piece.resultBytes <= storageLeft;
+    return computeNeededStorage(piece) <= storageLeft;
   }
 
-  /** Results travel to the engine: its own place first, then the most room. */
+  /**
+   * Prefers the piece's own place, to which results go, then the most free
+   * storage.
+   */
   function chooseEndpoint<E extends BatchEndpoint>(
     piece: P,
     { free, spec }: { free: readonly E[]; spec: BatchSpec },
@@ -193,16 +205,19 @@
     const fitting = listFast(
       free.filter(({ info, roomTaken }) =>
         !piece.avoid.has(info.id) &&
-        hasRoom(piece, { roomTaken, roomLeft: spec.roomBytes - roomTaken })
+        hasStorage(piece, {
+          roomTaken,
+          storageLeft: spec.roomBytes - roomTaken,
+        })
       ),
     );
-    const near = fitting.filter(({ info }) => info.place === piece.place);
-    return findEmptiest(near.length > 0 ? near : fitting);
+    const local = fitting.filter(({ info }) => info.place === piece.place);
+    return findMostFree(local.length > 0 ? local : fitting);
   }
 
   /**
-   * Fills a call. What had better be made in its own place waits for that, but
-   * not while all endpoints are busy: a place that stays free in a call is lost.
+   * Fills a call. Pieces that may wait for their own place are left out, except
+   * under a backlog, when an unused position in a call is lost capacity.
    */
   function choosePieces(
     first: P,
@@ -214,7 +229,7 @@
     },
   ): P[] {
     const chosen = new Set([first]);
-    const begun = new Set([first.group]);
+    const startedGroups = new Set([first.group]);
     let roomTaken = endpoint.roomTaken + first.resultBytes;
 
     function addFitting(pieces: readonly P[]): void {
@@ -222,12 +237,12 @@
         if (chosen.size >= spec.maxPieces) return;
         if (!mayShareCall(first, piece)) continue;
         if (chosen.has(piece) || piece.avoid.has(endpoint.info.id)) continue;
-        const roomLeft = spec.roomBytes - roomTaken;
-        const fits = begun.has(piece.group)
-          ? piece.resultBytes <= roomLeft
-          : hasRoom(piece, { roomTaken, roomLeft });
+        const storageLeft = spec.roomBytes - roomTaken;
+        const fits = startedGroups.has(piece.group)
+          ? piece.resultBytes <= storageLeft
+          : hasStorage(piece, { roomTaken, storageLeft });
         if (!fits) continue;
-        begun.add(piece.group);
+        startedGroups.add(piece.group);
         roomTaken += piece.resultBytes;
         chosen.add(piece);
       }
@@ -240,7 +255,7 @@
 
   function estimateWaits(
     priority: number,
-    { now, forecast }: { now: Millis; forecast: FlowForecast },
+    { now, forecast }: { now: Millis; forecast: WaitForecast },
   ): PieceWaits {
     const spec = readSpec();
     const ahead = waiting.filter((piece) =>
@@ -259,18 +274,18 @@
     },
     add,
     remove,
-    dropLate,
+    dropLate: dropInfeasible,
     planCall,
     estimateWaits,
   };
 }
 
 function mayShareCall(first: WaitingPiece, other: WaitingPiece): boolean {
-  const isAnyAlone = first.isAlone === true || other.isAlone === true;
-  return !isAnyAlone || first.group === other.group;
+  const isAnyIsolated = first.isAlone === true || other.isAlone === true;
+  return !isAnyIsolated || first.group === other.group;
 }
 
-/** Whether a call that starts now is too late for the objective. */
+/** Whether a call that starts now would miss the latency objective. */
 function isLate(
   { onTimeAt }: WaitingPiece,
   { now, spec }: { now: Millis; spec: BatchSpec },
@@ -283,13 +298,15 @@
   return a.priority - b.priority || byStart || a.onTimeAt - b.onTimeAt;
 }
 
-/** Leaves out what is far slower than the fastest; never leaves nothing. */
+/** Excludes endpoints far slower than the fastest; never excludes all. */
 function listFast<E extends BatchEndpoint>(endpoints: readonly E[]): E[] {
   const fastest = Math.min(...endpoints.map(({ slowness }) => slowness));
-  return endpoints.filter(({ slowness }) => slowness <= SLOW_FACTOR * fastest);
+  return endpoints.filter(({ slowness }) =>
+    slowness <= MAX_SLOWDOWN_FACTOR * fastest
+  );
 }
 
-function findEmptiest<E extends BatchEndpoint>(
+function findMostFree<E extends BatchEndpoint>(
   endpoints: readonly E[],
 ): E | undefined {
   return endpoints.reduce<E | undefined>(
--- a/packages/coordination/src/piece_batcher_replay_test.ts
+++ b/packages/coordination/src/piece_batcher_replay_test.ts
@@ -3,44 +3,47 @@
 import { MersenneTwister19937, Random } from "random-js";
 import type { BatchEndpoint, WaitingPiece } from "./piece_batcher.ts";
 import { createPieceBatcher } from "./piece_batcher.ts";
-import { createPieceFlow } from "./piece_flow.ts";
+import { createPieceFlow } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /**
- * Replays a load against one pool in steps of a millisecond. Requests of two
- * classes arrive at random; an endpoint works on one call at a time and holds
- * results for a while after it, as the stages behind it need them.
+ * A load that is replayed against one pool in steps of a millisecond. Requests
+ * of each class arrive at random. An endpoint runs one call at a time and
+ * stores the results for some time afterwards, until later stages have fetched
+ * them.
  */
 interface Load {
   spec: BatchSpec;
   endpoints: number;
-  /** Requests a second of each class at a time, most urgent class first. */
+  /**
+   * Returns the requests a second of each class at a time, most urgent first.
+   */
   readRates: (now: number) => readonly number[];
   pieces: number;
   resultBytes: number;
-  /** How long results are held after their call. */
-  hold: number;
-  /** Time from arrival until the objective is missed, and until the end. */
+  /** How long results are stored after their call. */
+  storedFor: number;
+  /** Time from arrival to the latency objective, and to the deadline. */
   onTime: number;
   due: number;
   /** Whether pieces of several requests share calls. */
   isShared: boolean;
-  /** Whether waits are forecast by the queue alone. */
-  isBlind?: boolean;
+  /** Whether waits are forecast from the length of the queue alone. */
+  ignoresArrivals?: boolean;
 }
 
 interface ClassResult {
-  asked: number;
+  requested: number;
   onTime: number;
   late: number;
 }
 
 interface Replayed {
   classes: ClassResult[];
-  /** Time of endpoints for each piece. */
+  /** Endpoint time per piece. */
   perPiece: number;
-  /** The longest time that a piece waited before it was given up. */
-  longestHeld: number;
+  /** The longest time that a piece waited before it was dropped. */
+  longestWait: number;
 }
 
 interface Piece extends WaitingPiece {
@@ -64,7 +67,7 @@
   const batcher = createPieceBatcher<Piece>(() => spec1);
   let time = 0;
   const flow = createPieceFlow({ ...createFakeClock(0), now: () => time });
-  const held: number[] = [];
+  const waitsOfDropped: number[] = [];
   const endpoints = Array.from(
     { length: load.endpoints },
     (_, index) => createEndpoint(`e${index}`),
@@ -73,13 +76,13 @@
   const left = new Map<number, number>();
   const arrivedAt = new Map<number, number>();
   const classes = load.readRates(0).map(() => ({
-    asked: 0,
+    requested: 0,
     onTime: 0,
     late: 0,
   }));
   let requests = 0;
   let busy = 0;
-  let made = 0;
+  let completed = 0;
 
   function at(time: number, event: () => void): void {
     events.set(time, [...(events.get(time) ?? []), event]);
@@ -90,8 +93,8 @@
     const group = { started: 0 };
     left.set(request, load.pieces);
     arrivedAt.set(request, now);
-    classes[className]!.asked++;
-    if (!load.isBlind) flow.recordArrival(className, load.pieces);
+    classes[className]!.requested++;
+    if (!load.ignoresArrivals) flow.recordArrival(className, load.pieces);
     for (let piece = 0; piece < load.pieces; piece++) {
       batcher.add({
         className,
@@ -109,7 +112,7 @@
   }
 
   function finish(now: number, piece: Piece): void {
-    made++;
+    completed++;
     const rest = (left.get(piece.request) ?? 0) - 1;
     left.set(piece.request, rest);
     if (rest > 0) return;
@@ -122,7 +125,7 @@
   function send(now: number): void {
     const forecast = flow.forecast(spec, endpoints.length);
     for (const { request } of batcher.dropLate(now, forecast)) {
-      held.push(now - (arrivedAt.get(request) ?? 0));
+      waitsOfDropped.push(now - (arrivedAt.get(request) ?? 0));
     }
     for (;;) {
       const call = batcher.planCall(endpoints, {
@@ -140,7 +143,7 @@
         endpoint.calls--;
         pieces.forEach((piece) => finish(now + time, piece));
       });
-      at(now + time + load.hold, () => {
+      at(now + time + load.storedFor, () => {
         endpoint.roomTaken -= pieces.length * resultBytes;
       });
     }
@@ -163,8 +166,10 @@
     });
     send(now);
   }
-  const longestHeld = held.length === 0 ? 0 : Math.max(...held);
-  return { classes, perPiece: busy / made, longestHeld };
+  const longestWait = waitsOfDropped.length === 0
+    ? 0
+    : Math.max(...waitsOfDropped);
+  return { classes, perPiece: busy / completed, longestWait: longestWait };
 }
 
 function createEndpoint(id: string): Endpoint {
@@ -179,13 +184,13 @@
   return { info, calls: 0, roomTaken: 0, slowness: 1, freeAt: 0 };
 }
 
-const readShare = ({ asked, onTime }: ClassResult) => onTime / asked;
+const readShare = ({ requested, onTime }: ClassResult) => onTime / requested;
 
 /**
- * Records of bills: 19 requests a second on a calm day come in waves, here at
- * their height; four endpoints.
+ * Large results under normal load: 19 requests a second on average, here at the
+ * peak of their fluctuation, on four endpoints.
  */
-const CALM: Load = {
+const NORMAL: Load = {
   spec: {
     slots: 1,
     maxPieces: 6,
@@ -198,13 +203,16 @@
   readRates: () => [26],
   pieces: 1,
   resultBytes: 700_000,
-  hold: 500,
+  storedFor: 500,
   onTime: 700,
   due: 4_000,
   isShared: true,
 };
 
-/** Hearings with half of the endpoints gone, and a burst of summaries. */
+/**
+ * Two classes after the loss of half of the endpoints, and a burst of the
+ * first.
+ */
 const BURST: Load = {
   spec: {
     slots: 1,
@@ -218,13 +226,13 @@
   readRates: (now) => [now > 8_000 && now < 14_000 ? 9 : 4, 5],
   pieces: 6,
   resultBytes: 60_000,
-  hold: 350,
+  storedFor: 350,
   onTime: 1_200,
   due: 4_000,
   isShared: true,
 };
 
-/** Two makers of fees are left for what three could just do. */
+/** Two endpoints are left for a load that three could just serve. */
 const OVERLOAD: Load = {
   spec: {
     slots: 1,
@@ -238,44 +246,45 @@
   readRates: () => [5, 7.2],
   pieces: 4,
   resultBytes: 60_000,
-  hold: 350,
+  storedFor: 350,
   onTime: 1_500,
   due: 6_000,
   isShared: true,
 };
 
 describe("replay of stage load", () => {
-  // A calm day overloads the pool if each request makes its own call: the fixed
-  // cost of its calls is more than four endpoints have.
-  it("serves a calm day by sharing calls, which single calls cannot", () => {
-    const shared = replay(CALM);
-    const single = replay({ ...CALM, isShared: false });
+  // Normal load overloads the pool if each request makes its own call: the
+  // fixed cost of the calls exceeds the capacity of four endpoints.
+  it("serves normal load with shared calls, but not with separate ones", () => {
+    const shared = replay(NORMAL);
+    const single = replay({ ...NORMAL, isShared: false });
     expect(readShare(shared.classes[0]!)).to.be.greaterThan(0.97);
     expect(readShare(single.classes[0]!)).to.be.lessThan(0.75);
     expect(shared.perPiece).to.be.lessThan(single.perPiece);
   });
 
-  // A burst above what is left of a pool: the more urgent class keeps its
-  // objective, the other is served with what is left, and not starved after it.
+  // A burst exceeds the remaining capacity of a pool: the more urgent class
+  // meets its objective, and the other gets the rest and is not starved
+  // afterwards.
   it("keeps the urgent class on time through a burst", () => {
     const [urgent, other] = replay(BURST).classes;
     expect(readShare(urgent!)).to.be.greaterThan(0.9);
     expect(readShare(other!)).to.be.within(0.3, 0.95);
   });
 
-  // One of three makers of fees is gone for good, so a third of the requests
-  // cannot be served. They wait behind all that come later: by the length of the
-  // queue each seems to be served soon, and is refused after half of its time.
-  it("gives up early what others will keep out for as long", () => {
-    const blind = replay({ ...OVERLOAD, isBlind: true });
-    const seeing = replay(OVERLOAD);
-    expect(blind.longestHeld).to.be.greaterThan(4_500);
-    expect(seeing.longestHeld).to.be.lessThan(2_500);
-    expect(seeing.classes[0]!.onTime)
-      .to.be.greaterThan(0.97 * blind.classes[0]!.onTime);
+  // One of three endpoints is lost for good, so a third of the requests cannot
+  // be served. Later arrivals overtake them: by the length of the queue each
+  // seems to be served soon, and is refused after half of its time.
+  it("drops pieces early that later arrivals would overtake until the deadline", () => {
+    const byQueue = replay({ ...OVERLOAD, ignoresArrivals: true });
+    const byRates = replay(OVERLOAD);
+    expect(byQueue.longestWait).to.be.greaterThan(4_500);
+    expect(byRates.longestWait).to.be.lessThan(2_500);
+    expect(byRates.classes[0]!.onTime)
+      .to.be.greaterThan(0.97 * byQueue.classes[0]!.onTime);
   });
 
-  it("gives the same result on every run", () => {
+  it("is deterministic", () => {
     expect(replay(BURST)).to.deep.equal(replay(BURST));
   });
 });
--- a/packages/coordination/src/placement.ts
+++ b/packages/coordination/src/placement.ts
@@ -1,36 +1,36 @@
 /**
- * Decides which engine holds which models, from the demand of the classes.
+ * Plans which engine loads which models, from the demand for each model.
  *
- * Loading weights is slow and the weight store is rate-limited, so a plan keeps
- * what engines hold already, and moves a model only when demand has changed by
- * enough for long enough.
+ * Loading weights is slow and the weight store is rate-limited. A plan
+ * therefore keeps models where they are loaded, and moves one only when the
+ * demand has changed enough for long enough.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** A model that has to be held somewhere. */
+/** A model that has to be loaded on some engines. */
 export interface PlacedModel {
   name: string;
   version: string;
   adapters: string[];
-  /** Engines that hold it even without demand. */
+  /** Number of engines that load it even without demand. */
   minEngines: number;
 }
 
-/** What an engine holds, as it said itself. */
+/** The models that an engine has loaded, by its own report. */
 export interface EngineHolding {
   endpointKey: string;
   models: { name: string; version: string; adapters: string[] }[];
 }
 
-/** What an engine should hold. */
+/** The models that an engine should load. */
 export interface EnginePlan {
   endpointKey: string;
   models: { name: string; version: string; adapters: string[] }[];
 }
 
-/** Work by model, in any unit, such as tokens asked for a second. */
+/** Demand by model, in any unit, such as requested tokens a second. */
 export type ModelDemand = ReadonlyMap<string, number>;
 
 /** Options of {@linkcode planPlacement}. */
@@ -38,18 +38,18 @@
   models: readonly PlacedModel[];
   engines: readonly EngineHolding[];
   demand: ModelDemand;
-  /** Models that one engine can hold at a time. */
+  /** Number of models that one engine can load at a time. */
   modelsPerEngine: number;
 }
 
-/** Plans what each engine should hold; the same input gives the same plan. */
+/** Plans the models of each engine; the same input gives the same plan. */
 export function planPlacement(
   { models, engines, demand, modelsPerEngine }: PlacementOptions,
 ): EnginePlan[] {
   const sorted = [...engines].sort((a, b) =>
     a.endpointKey.localeCompare(b.endpointKey)
   );
-  const wanted = countWanted(models, {
+  const engineCounts = computeEngineCounts(models, {
     engines: sorted.length,
     demand,
     modelsPerEngine,
@@ -57,12 +57,13 @@
   const plans = new Map<string, PlacedModel[]>(
     sorted.map(({ endpointKey }) => [endpointKey, []]),
   );
-  // Those that hold a model already come first: keeping it loads nothing.
+  // Engines that have loaded the model come first: keeping it there loads
+  // nothing.
   for (const model of models) {
-    let left = wanted.get(model.name) ?? 0;
-    for (const holding of listByFitness(sorted, { model, plans })) {
+    let left = engineCounts.get(model.name) ?? 0;
+    for (const engine of rankEngines(sorted, { model, plans })) {
       if (left === 0) break;
-      const plan = plans.get(holding.endpointKey);
+      const plan = plans.get(engine.endpointKey);
       if (plan === undefined || plan.length >= modelsPerEngine) continue;
       plan.push(model);
       left--;
@@ -78,8 +79,10 @@
   }));
 }
 
-/** How many engines each model gets: its least, then by demand. */
-function countWanted(
+/**
+ * Returns the number of engines for each model: its minimum, then by demand.
+ */
+function computeEngineCounts(
   models: readonly PlacedModel[],
   { engines, demand, modelsPerEngine }: {
     engines: number;
@@ -87,43 +90,47 @@
     modelsPerEngine: number;
   },
 ): Map<string, number> {
-  const wanted = new Map(
+  const engineCounts = new Map(
     models.map(({ name, minEngines }) => [name, Math.min(minEngines, engines)]),
   );
-  let room = engines * modelsPerEngine -
-    [...wanted.values()].reduce((sum, count) => sum + count, 0);
-  while (room > 0) {
-    const neediest = findNeediest(models, { wanted, engines, demand });
-    if (neediest === undefined) break;
-    wanted.set(neediest, (wanted.get(neediest) ?? 0) + 1);
-    room--;
+  let freeSlots = engines * modelsPerEngine -
+    [...engineCounts.values()].reduce((sum, count) => sum + count, 0);
+  while (freeSlots > 0) {
+    const highest = findHighestDemand(models, {
+      engineCounts,
+      engines,
+      demand,
+    });
+    if (highest === undefined) break;
+    engineCounts.set(highest, (engineCounts.get(highest) ?? 0) + 1);
+    freeSlots--;
   }
-  return wanted;
+  return engineCounts;
 }
 
-/** The model with the most demand for each engine that it has. */
-function findNeediest(
+/** Finds the model with the highest demand per assigned engine. */
+function findHighestDemand(
   models: readonly PlacedModel[],
-  { wanted, engines, demand }: {
-    wanted: ReadonlyMap<string, number>;
+  { engineCounts, engines, demand }: {
+    engineCounts: ReadonlyMap<string, number>;
     engines: number;
     demand: ModelDemand;
   },
 ): string | undefined {
-  let neediest: string | undefined;
+  let highest: string | undefined;
   let most = -1;
   for (const { name } of models) {
-    const count = wanted.get(name) ?? 0;
+    const count = engineCounts.get(name) ?? 0;
     if (count >= engines) continue;
     const need = (demand.get(name) ?? 0) / Math.max(1, count);
     if (need <= most) continue;
     most = need;
-    neediest = name;
+    highest = name;
   }
-  return neediest;
+  return highest;
 }
 
-function listByFitness(
+function rankEngines(
   engines: readonly EngineHolding[],
   { model, plans }: {
     model: PlacedModel;
@@ -131,14 +138,14 @@
   },
 ): EngineHolding[] {
   const rank = ({ endpointKey, models }: EngineHolding) => {
-    const isHeld = models.some(({ name }) => name === model.name);
+    const isLoaded = models.some(({ name }) => name === model.name);
     const planned = plans.get(endpointKey)?.length ?? 0;
-    return (isHeld ? 0 : 1_000) + planned;
+    return (isLoaded ? 0 : 1_000) + planned;
   };
   return [...engines].sort((a, b) => rank(a) - rank(b));
 }
 
-/** Whether two plans for an engine are the same. */
+/** Whether two lists contain the same models, versions and adapters. */
 export function isSamePlan(
   a: readonly EnginePlan["models"][number][],
   b: readonly EnginePlan["models"][number][],
@@ -150,21 +157,21 @@
   return format(a) === format(b);
 }
 
-/** Demand by model, smoothed so that a plan does not follow every burst. */
+/** Smoothed demand by model, so that a plan does not follow every burst. */
 export interface DemandTracker {
   record(model: string, amount: number): void;
-  /** Smoothed demand; changes only when it has moved by enough. */
+  /** Returns the smoothed demand, which changes only by significant steps. */
   read(): ModelDemand;
 }
 
 const HALF_LIFE: Millis = 120_000;
-/** Demand as read moves only when the shares have moved by this much. */
+/** The returned demand is updated when the share of a model differs by more. */
 const MIN_SHARE_CHANGE = 0.15;
 
 /** Creates a tracker without demand. */
 export function createDemandTracker(clock: Clock): DemandTracker {
   const amounts = new Map<string, number>();
-  let settled: ModelDemand = new Map();
+  let stable: ModelDemand = new Map();
   let decayedAt = clock.now();
 
   function refreshAmounts(): void {
@@ -181,14 +188,14 @@
 
   function read(): ModelDemand {
     refreshAmounts();
-    if (hasMoved(amounts, settled)) settled = new Map(amounts);
-    return settled;
+    if (hasChanged(amounts, stable)) stable = new Map(amounts);
+    return stable;
   }
 
   return { record, read };
 }
 
-function hasMoved(now: ModelDemand, before: ModelDemand): boolean {
+function hasChanged(now: ModelDemand, before: ModelDemand): boolean {
   const names = new Set([...now.keys(), ...before.keys()]);
   const nowTotal = sum(now);
   const beforeTotal = sum(before);
--- a/packages/coordination/src/placement_test.ts
+++ b/packages/coordination/src/placement_test.ts
@@ -10,7 +10,7 @@
   minEngines,
 });
 
-function hold(endpointKey: string, ...names: string[]): EngineHolding {
+function createEngine(endpointKey: string, ...names: string[]): EngineHolding {
   const models = names.map((name) => ({ name, version: "1", adapters: [] }));
   return { endpointKey, models };
 }
@@ -31,14 +31,23 @@
 }
 
 describe("placement", () => {
-  it("gives engines to models by demand, each at least its least", () => {
-    const engines = [hold("e1"), hold("e2"), hold("e3"), hold("e4")];
+  it("assigns engines to models by demand, with a minimum for each", () => {
+    const engines = [
+      createEngine("e1"),
+      createEngine("e2"),
+      createEngine("e3"),
+      createEngine("e4"),
+    ];
     expect(plan(engines, [["a", 90], ["b", 10]]))
       .to.deep.equal(["e1:a", "e2:a", "e3:a", "e4:b"]);
   });
 
-  it("keeps what engines hold rather than loading it elsewhere", () => {
-    const engines = [hold("e1", "b"), hold("e2", "a"), hold("e3", "a")];
+  it("keeps models on engines that have loaded them", () => {
+    const engines = [
+      createEngine("e1", "b"),
+      createEngine("e2", "a"),
+      createEngine("e3", "a"),
+    ];
     expect(plan(engines, [["a", 60], ["b", 40]]))
       .to.deep.equal(["e1:b", "e2:a", "e3:a"]);
   });
@@ -47,16 +56,16 @@
     const next = [{ ...model("a"), version: "2" }];
     const plans = planPlacement({
       models: next,
-      engines: [hold("e1", "a")],
+      engines: [createEngine("e1", "a")],
       demand: new Map(),
       modelsPerEngine: 1,
     });
     expect(plans[0]?.models[0]?.version).to.equal("2");
   });
 
-  // Demand swings a little from minute to minute. Following each swing would
-  // reload weights all the time, at a store that is rate-limited.
-  it("does not follow small swings of demand", () => {
+  // Demand fluctuates a little from minute to minute. Following it would reload
+  // weights continuously from a store that is rate-limited.
+  it("ignores small changes of demand", () => {
     const tracker = createDemandTracker(createFakeClock());
     tracker.record("a", 50);
     tracker.record("b", 50);
--- a/packages/coordination/src/poison_quarantine.ts
+++ b/packages/coordination/src/poison_quarantine.ts
@@ -1,118 +1,127 @@
 /**
- * Which requests are turned away because endpoints end under them.
+ * Quarantine of poison requests: requests that crash the endpoints which run
+ * them are refused.
  *
- * The load it answers: a request that ends each endpoint which begins to work on
- * it comes again and again, under new ids and at any entry. Each time everything
- * else at that endpoint is lost with it, some dozen streams, and the endpoint is
- * away for seconds; a site of eight engines is down within ten seconds.
+ * A request that crashes every endpoint is repeated under new ids and at any
+ * entry. Each crash loses all other work of the endpoint, some dozen streams,
+ * and the endpoint is down for seconds; without the quarantine a site of eight
+ * engines is down within ten seconds.
  *
- * What is held against a content is that an endpoint ended while it was there.
- * One that completes anywhere is cleared: it does not end each endpoint.
+ * The evidence against a request content is that endpoints crashed while they
+ * ran it. A content that completes anywhere is cleared, since it does not crash
+ * every endpoint.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** A run during which its endpoint ended. */
+/** A run during which its endpoint crashed. */
 export interface EndedRun {
   /** From `computeContentDigest`. */
   content: string;
   endpointKey: string;
-  /** How long ago it was sent there. */
+  /** Time since it was sent there. */
   sentAgo: Millis;
-  /** How long ago the endpoint ended. */
+  /** Time since the endpoint crashed. */
   endedAgo: Millis;
 }
 
-/** A content that is turned away. */
+/** A request content that is quarantined. */
 export interface QuarantinedContent {
   content: string;
-  /** Keys of the endpoints that ended under it. */
+  /** Keys of the endpoints that crashed while they ran it. */
   endpointKeys: readonly string[];
-  /** How long it is turned away. */
+  /** How long its requests are refused. */
   term: Millis;
 }
 
-/** A content that endpoints have ended under, not often enough yet. */
+/** A request content with fewer crashes than a quarantine needs. */
 export interface SuspectedContent {
   content: string;
-  /** Time since the last endpoint ended. */
+  /** Time since the last crash. */
   age: Millis;
 }
 
-/** The contents that one entry suspects or turns away. */
+/** The request contents that one entry suspects or has quarantined. */
 export interface PoisonQuarantine {
-  /** Whether nothing is suspected: then no digest needs to be computed. */
+  /** Whether nothing is suspected, so that no digest needs to be computed. */
   isEmpty(): boolean;
-  /** Returns what is turned away from now on because of this run. */
+  /** Records a crash; returns the quarantine that it starts, if any. */
   noteEnded(run: EndedRun): QuarantinedContent | undefined;
-  /** Clears it; returns whether it was suspected or turned away. */
+  /** Clears a content; returns whether it was suspected or quarantined. */
   noteCompleted(content: string): boolean;
-  /** Takes over what others found; returns whether that was news. */
+  /** Merges a quarantine of a peer; returns whether it is new here. */
   adopt(quarantined: QuarantinedContent): boolean;
-  /** Suspects it as others do, so that its completion is told. */
+  /** Merges a suspicion of a peer, so that a completion here is published. */
   noteSuspected(suspected: SuspectedContent): void;
-  /** Lets it in again; one more end under it turns it away for longer. */
+  /** Accepts a content again; its next crash quarantines it for longer. */
   release(content: string): void;
-  /** How long it is still turned away; 0 if it is let in. */
+  /** Returns how long a content is still quarantined; 0 if it is accepted. */
   readTimeLeft(content: string): Millis;
-  /** Releases those whose term is over, and returns them. */
+  /** Releases the contents whose quarantine has expired, and returns them. */
   releaseLapsed(): string[];
-  /** Found or adopted lately, youngest first; for peers. */
+  /** Returns recent quarantines to send to peers, newest first. */
   chooseQuarantined(limit: number): QuarantinedContent[];
-  /** Suspected lately, youngest first; for peers. */
+  /** Returns recent suspicions to send to peers, newest first. */
   chooseSuspected(limit: number): SuspectedContent[];
 }
 
 /**
- * One endpoint may end under anybody, two under who was repeated; the third end
- * in a row is no coincidence, and each costs all that ran there.
+ * One crash may happen during any request, and two during one that was retried.
+ * A third in a row is no coincidence, and each crash loses all work of the
+ * endpoint.
  */
-const ENDS_TO_QUARANTINE = 3;
+const CRASHES_TO_QUARANTINE = 3;
 /**
- * Endpoints that fail together end within this. A content that many callers ask
- * for may be at all of them, which says no more than one end does.
+ * Crashes within this time count once: they may have a common cause, and a
+ * content that many callers request may run at all of these endpoints.
  */
-const SAME_MOMENT: Millis = 500;
-/** Ends further apart have nothing to do with each other. */
-const EVIDENCE_LIFETIME: Millis = 600_000;
+const SIMULTANEOUS_WINDOW: Millis = 500;
+/** Crashes further apart are unrelated. */
+const EVIDENCE_TTL: Millis = 600_000;
 /**
- * After this a content is let in again, in case that it was suspected wrongly or
- * the endpoints were mended; each time that it ends one more, twice as long.
+ * After this time a content is accepted again, in case it was suspected wrongly
+ * or the endpoints have been fixed. Each further crash doubles the time.
  */
-const FIRST_TERM: Millis = 600_000;
-const LONGEST_TERM: Millis = 86_400_000;
-/** What was released is not taken back on old news of peers for this long. */
-const RELEASE_LIFETIME: Millis = 60_000;
-/** Peers are told for this long; who hears nothing by then reads the store. */
-const NEWS_LIFETIME: Millis = 30_000;
-/** Some 200 bytes each; the oldest suspects are forgotten above this. */
-const MAX_KNOWN = 2_048;
+const INITIAL_TERM: Millis = 600_000;
+const MAX_TERM: Millis = 86_400_000;
+/** For this long, stale records of peers do not revoke a release. */
+const RELEASE_TTL: Millis = 60_000;
+/**
+ * How long changes are sent to peers; peers that missed them read the store.
+ */
+const GOSSIP_TTL: Millis = 30_000;
+/**
+ * Maximum number of contents, of some 200 bytes; evicts the oldest suspects.
+ */
+const MAX_CONTENTS = 2_048;
 
-interface End {
+interface Crash {
   endpointKey: string;
   at: Millis;
 }
 
-interface Known {
-  ends: End[];
-  /** When peers last named it as suspected, less its age then. */
+interface ContentState {
+  /** Crashes of endpoints that ran it, oldest first. */
+  ends: Crash[];
+  /** Time of the last crash as reported by peers. */
   suspectedAt: Millis;
   quarantinedAt: Millis | undefined;
-  /** Of the present quarantine, or of the last one. */
+  /** The term of the current or last quarantine. */
   term: Millis;
   releasedAt: Millis;
-  /** The term that was over, or cut short, then. */
+  /** The term of the quarantine that was released at `releasedAt`. */
   releasedTerm: Millis;
 }
 
-/** Creates a quarantine without any content. */
+/** Creates an empty quarantine. */
 export function createPoisonQuarantine(clock: Clock): PoisonQuarantine {
-  /** By content; the one changed last is the last. */
-  const known = new Map<string, Known>();
+  /** By content, in the order of the last change. */
+  const known = new Map<string, ContentState>();
 
-  function keep(content: string): Known {
-    const present = known.get(content) ?? {
+  /** Returns the state of a content, created if missing, moved to the end. */
+  function keep(content: string): ContentState {
+    const state = known.get(content) ?? {
       ends: [],
       suspectedAt: -Infinity,
       quarantinedAt: undefined,
@@ -121,12 +130,12 @@
       releasedTerm: 0,
     };
     known.delete(content);
-    known.set(content, present);
-    if (known.size > MAX_KNOWN) dropOldest();
-    return present;
+    known.set(content, state);
+    if (known.size > MAX_CONTENTS) evictOldest();
+    return state;
   }
 
-  function dropOldest(): void {
+  function evictOldest(): void {
     for (const [content, { quarantinedAt }] of known) {
       if (quarantinedAt !== undefined) continue;
       known.delete(content);
@@ -134,23 +143,23 @@
     }
   }
 
-  /** Whether another content that is turned away accounts for the end. */
-  function isExplained(endpointKey: string): boolean {
+  /** Whether the crash is already attributed to a quarantined content. */
+  function isAttributed(endpointKey: string): boolean {
     return [...known.values()].some(({ quarantinedAt, ends }) =>
       quarantinedAt !== undefined &&
-      ends.some((end) => end.endpointKey === endpointKey)
+      ends.some((crash) => crash.endpointKey === endpointKey)
     );
   }
 
-  function isSameMoment(last: End | undefined, run: EndedRun): boolean {
+  function isSimultaneous(last: Crash | undefined, run: EndedRun): boolean {
     if (last === undefined) return false;
     const now = clock.now();
     return now - run.sentAgo < last.at &&
-      now - run.endedAgo - last.at < SAME_MOMENT;
+      now - run.endedAgo - last.at < SIMULTANEOUS_WINDOW;
   }
 
-  /** What ended with the cause is not the cause. */
-  function dropExplained(endpointKeys: readonly string[]): void {
+  /** Removes these crashes from other suspects, as their cause is now known. */
+  function removeAttributed(endpointKeys: readonly string[]): void {
     for (const [content, { ends, quarantinedAt, term }] of known) {
       if (quarantinedAt !== undefined) continue;
       const left = ends.filter(({ endpointKey }) =>
@@ -162,31 +171,34 @@
     }
   }
 
-  function noteEnded(run: EndedRun): QuarantinedContent | undefined {
+  function recordCrash(run: EndedRun): QuarantinedContent | undefined {
     const { content, endpointKey, endedAgo } = run;
     const now = clock.now();
-    if (isExplained(endpointKey)) return undefined;
+    if (isAttributed(endpointKey)) return undefined;
     const suspect = keep(content);
     if (suspect.quarantinedAt !== undefined) return undefined;
-    const recent = suspect.ends.filter(({ at }) =>
-      now - at < EVIDENCE_LIFETIME
-    );
+    const recent = suspect.ends.filter(({ at }) => now - at < EVIDENCE_TTL);
     suspect.ends = recent;
-    const isKnownEnd = recent.some((end) => end.endpointKey === endpointKey);
-    if (isKnownEnd || isSameMoment(recent.at(-1), run)) return undefined;
+    const isKnownCrash = recent.some((crash) =>
+      crash.endpointKey === endpointKey
+    );
+    if (isKnownCrash || isSimultaneous(recent.at(-1), run)) return undefined;
     recent.push({ endpointKey, at: now - endedAgo });
     const isRelapse = suspect.term > 0;
-    if (!isRelapse && recent.length < ENDS_TO_QUARANTINE) return undefined;
+    if (!isRelapse && recent.length < CRASHES_TO_QUARANTINE) return undefined;
     const found = {
       content,
-      endpointKeys: recent.map((end) => end.endpointKey),
-      term: isRelapse ? Math.min(LONGEST_TERM, 2 * suspect.term) : FIRST_TERM,
+      endpointKeys: recent.map((crash) => crash.endpointKey),
+      term: isRelapse ? Math.min(MAX_TERM, 2 * suspect.term) : INITIAL_TERM,
     };
-    begin(suspect, found);
+    startQuarantine(suspect, found);
     return found;
   }
 
-  function begin(suspect: Known, { endpointKeys, term }: QuarantinedContent) {
+  function startQuarantine(
+    suspect: ContentState,
+    { endpointKeys, term }: QuarantinedContent,
+  ) {
     const now = clock.now();
     suspect.quarantinedAt = now;
     suspect.term = term;
@@ -194,23 +206,25 @@
       endpointKey,
       at: now,
     }));
-    dropExplained(endpointKeys);
+    removeAttributed(endpointKeys);
   }
 
-  function adopt(quarantined: QuarantinedContent): boolean {
+  function mergeQuarantined(quarantined: QuarantinedContent): boolean {
     const suspect = keep(quarantined.content);
     if (suspect.quarantinedAt !== undefined) return false;
-    if (isOldNews(suspect, quarantined)) return false;
-    begin(suspect, quarantined);
+    if (isStale(suspect, quarantined)) return false;
+    startQuarantine(suspect, quarantined);
     return true;
   }
 
-  /** A relapse has a longer term than what was released. */
-  function isOldNews(
-    { releasedAt, releasedTerm }: Known,
+  /**
+   * A stale record has no longer term than the quarantine that was released.
+   */
+  function isStale(
+    { releasedAt, releasedTerm }: ContentState,
     { term }: QuarantinedContent,
   ): boolean {
-    return clock.now() - releasedAt < RELEASE_LIFETIME && term <= releasedTerm;
+    return clock.now() - releasedAt < RELEASE_TTL && term <= releasedTerm;
   }
 
   function release(content: string): void {
@@ -225,7 +239,7 @@
     suspect.releasedAt = clock.now();
   }
 
-  function noteCompleted(content: string): boolean {
+  function recordCompletion(content: string): boolean {
     const suspect = known.get(content);
     if (suspect === undefined || !isSuspected(suspect)) return false;
     release(content);
@@ -233,9 +247,11 @@
     return true;
   }
 
-  function isSuspected({ quarantinedAt, ends, suspectedAt }: Known): boolean {
+  function isSuspected(
+    { quarantinedAt, ends, suspectedAt }: ContentState,
+  ): boolean {
     return quarantinedAt !== undefined || ends.length > 0 ||
-      clock.now() - suspectedAt < EVIDENCE_LIFETIME;
+      clock.now() - suspectedAt < EVIDENCE_TTL;
   }
 
   function readTimeLeft(content: string): Millis {
@@ -244,62 +260,64 @@
     return Math.max(0, quarantinedAt + term - clock.now());
   }
 
-  function releaseLapsed(): string[] {
-    const lapsed = [...known]
+  function releaseExpired(): string[] {
+    const expired = [...known]
       .filter(([content, { quarantinedAt }]) =>
         quarantinedAt !== undefined && readTimeLeft(content) === 0
       )
       .map(([content]) => content);
-    lapsed.forEach(release);
-    dropForgotten();
-    return lapsed;
+    expired.forEach(release);
+    removeExpired();
+    return expired;
   }
 
-  function dropForgotten(): void {
+  function removeExpired(): void {
     for (const [content, suspect] of known) {
       suspect.ends = suspect.ends.filter(({ at }) =>
         suspect.quarantinedAt !== undefined ||
-        clock.now() - at < EVIDENCE_LIFETIME
+        clock.now() - at < EVIDENCE_TTL
       );
-      const isReleased = clock.now() - suspect.releasedAt < RELEASE_LIFETIME;
+      const isReleased = clock.now() - suspect.releasedAt < RELEASE_TTL;
       if (!isSuspected(suspect) && suspect.term === 0 && !isReleased) {
         known.delete(content);
       }
     }
   }
 
-  function listYoungest() {
+  function listNewestFirst() {
     return [...known].reverse();
   }
 
   return {
     isEmpty: () => known.size === 0,
-    noteEnded,
-    noteCompleted,
-    adopt,
+    noteEnded: recordCrash,
+    noteCompleted: recordCompletion,
+    adopt: mergeQuarantined,
     noteSuspected({ content, age }) {
       if (known.get(content)?.quarantinedAt !== undefined) return;
       const suspect = keep(content);
       const now = clock.now();
-      if (now - suspect.releasedAt < RELEASE_LIFETIME) return;
+      if (now - suspect.releasedAt < RELEASE_TTL) return;
       suspect.suspectedAt = Math.max(suspect.suspectedAt, now - age);
     },
     release,
     readTimeLeft,
-    releaseLapsed,
+    releaseLapsed: releaseExpired,
     chooseQuarantined: (limit) =>
-      listYoungest().flatMap(([content, { quarantinedAt, ends, term }]) => {
-        const age = clock.now() - (quarantinedAt ?? -Infinity);
-        if (age > NEWS_LIFETIME) return [];
-        const endpointKeys = ends.map(({ endpointKey }) => endpointKey);
-        return [{ content, endpointKeys, term }];
-      }).slice(0, limit),
+      listNewestFirst().flatMap(
+        ([content, { quarantinedAt, ends, term }]) => {
+          const age = clock.now() - (quarantinedAt ?? -Infinity);
+          if (age > GOSSIP_TTL) return [];
+          const endpointKeys = ends.map(({ endpointKey }) => endpointKey);
+          return [{ content, endpointKeys, term }];
+        },
+      ).slice(0, limit),
     chooseSuspected: (limit) =>
-      listYoungest().flatMap(([content, suspect]) => {
+      listNewestFirst().flatMap(([content, suspect]) => {
         if (suspect.quarantinedAt !== undefined) return [];
         const lastAt = suspect.ends.at(-1)?.at ?? -Infinity;
         const age = clock.now() - Math.max(lastAt, suspect.suspectedAt);
-        return age > NEWS_LIFETIME ? [] : [{ content, age }];
+        return age > GOSSIP_TTL ? [] : [{ content, age }];
       }).slice(0, limit),
   };
 }
--- a/packages/coordination/src/pool_partition_test.ts
+++ b/packages/coordination/src/pool_partition_test.ts
@@ -5,7 +5,7 @@
   choosePartition,
   listPartitionEndpoints,
   listPartitions,
-  WHOLE_POOL,
+  UNPARTITIONED,
 } from "./pool_partition.ts";
 
 /** One endpoint for each letter, which names its place. */
@@ -14,9 +14,13 @@
 
 describe("partitions of a stage pool", () => {
   const CASES = [
-    { name: "one endpoint a place", places: "abcd", partitions: [WHOLE_POOL] },
-    { name: "one place", places: "aaaaaa", partitions: [WHOLE_POOL] },
-    { name: "no endpoint", places: "", partitions: [WHOLE_POOL] },
+    {
+      name: "one endpoint a place",
+      places: "abcd",
+      partitions: [UNPARTITIONED],
+    },
+    { name: "one place", places: "aaaaaa", partitions: [UNPARTITIONED] },
+    { name: "no endpoint", places: "", partitions: [UNPARTITIONED] },
     { name: "two a place", places: "aabbcc", partitions: ["a", "b", "c"] },
     { name: "four a place", places: "aaaabbbb", partitions: ["a", "b"] },
     {
@@ -38,20 +42,21 @@
     const other = choosePartition(partitions, "d");
     expect(partitions).to.include(other);
     expect(choosePartition(partitions, "d")).to.equal(other);
-    expect(choosePartition([WHOLE_POOL], "b")).to.equal(WHOLE_POOL);
+    expect(choosePartition([UNPARTITIONED], "b")).to.equal(UNPARTITIONED);
   });
 
-  // The last endpoint of a place is taken away while pieces wait for it. They
-  // would wait for their deadline.
+  // The last endpoint of a place is removed while pieces wait for it. They
+  // would wait until their deadline.
   it("use all endpoints when those of their place are gone", () => {
     const endpoints = createEndpoints("aabb");
     expect(listPartitionEndpoints(endpoints, "a").length).to.equal(2);
     expect(listPartitionEndpoints(endpoints, "c").length).to.equal(4);
-    expect(listPartitionEndpoints(endpoints, WHOLE_POOL).length).to.equal(4);
+    expect(listPartitionEndpoints(endpoints, UNPARTITIONED).length).to.equal(4);
   });
 
-  // A place has lost most of its endpoints, or has a burst of its own. Its pieces
-  // go elsewhere only where that is worth their way, and not all to the same.
+  // A place has lost most of its endpoints, or has a burst of its own. Its
+  // pieces overflow only if that is worth the transfer, and not all to one
+  // partition.
   const OVERFLOWS = [
     { name: "is not behind", home: 150, others: [0, 0, 0], chosen: ["h"] },
     { name: "is a little behind", home: 300, others: [150], chosen: ["h"] },
--- a/packages/coordination/src/stage_plan.ts
+++ b/packages/coordination/src/stage_plan.ts
@@ -1,54 +1,61 @@
 /**
- * When each stage of a request should start and how much time the stages behind
- * it need.
+ * Plans when each stage of a request starts and how much time later stages
+ * need.
  *
- * Results take room at their makers until the request's engine has fetched them,
- * and room is short. So a stage that nothing waits for starts as late as the
- * longest chain allows, and not with the request: the large results of a stage
- * beside a chain of three would be held for the whole chain.
+ * Endpoints store results until the request's engine has fetched them, and
+ * their memory for results is scarce. A stage off the critical path therefore
+ * starts as late as the critical path allows, and not with the request.
+ * Otherwise the large results of a stage parallel to a chain of three would be
+ * stored for the whole chain.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 import type { RouteStage } from "./serving_config.ts";
 
-/** The place of one stage in its request. */
+/** The schedule of one stage in its request. */
 export interface PlannedStage {
-  /** Stages that must be done before this one starts. */
+  /** Stages that must complete before this one starts. */
   waitsFor: readonly number[];
-  /** Time from its end to the end of the last stage. */
+  /** Time from the end of this stage to the end of the last one. */
   timeBehind: Millis;
 }
 
-/** A stage may make its request this much later for holding room less long. */
-const DELAY_ALLOWED: Millis = 100;
+/**
+ * Delay of a request that is accepted so that results are stored for less time.
+ */
+const MAX_ADDED_DELAY: Millis = 100;
 
-/** Plans the stages of a request; `durations` are the expected times of each. */
+/** Plans the stages of a request; `durations` are their expected times. */
 export function planStages(
   stages: readonly RouteStage[],
   durations: readonly Millis[],
 ): PlannedStage[] {
   const numbers = stages.map((_, number) => number);
   const readDuration = (number: number) => durations[number] ?? 0;
-  const behind = new Map<number, Millis>();
+  const downstream = new Map<number, Millis>();
 
-  function computeBehind(number: number): Millis {
-    const known = behind.get(number);
+  function computeDownstream(number: number): Millis {
+    const known = downstream.get(number);
     if (known !== undefined) return known;
-    const users = numbers.filter((user) =>
+    const dependents = numbers.filter((user) =>
       user > number && stages[user]?.after.includes(number)
     );
-    const times = users.map((user) => readDuration(user) + computeBehind(user));
+    const times = dependents.map((user) =>
+      readDuration(user) + computeDownstream(user)
+    );
     const longest = Math.max(0, ...times);
-    behind.set(number, longest);
+    downstream.set(number, longest);
     return longest;
   }
 
   const total = Math.max(
     0,
-    ...numbers.map((number) => readDuration(number) + computeBehind(number)),
+    ...numbers.map((number) =>
+      readDuration(number) + computeDownstream(number)
+    ),
   );
-  const readLatestEnd = (number: number) => total - computeBehind(number);
+  const readLatestEnd = (number: number) => total - computeDownstream(number);
   const readLatestStart = (number: number) =>
     readLatestEnd(number) - readDuration(number);
 
@@ -56,14 +63,16 @@
     const earlier = numbers.filter((other) =>
       other !== number && readDuration(other) > 0 &&
       readLatestStart(other) < readLatestStart(number) &&
-      readLatestEnd(other) <= readLatestStart(number) + DELAY_ALLOWED
+      readLatestEnd(other) <= readLatestStart(number) + MAX_ADDED_DELAY
     );
-    const waitsFor = [...new Set([...after, ...earlier])];
-    return { waitsFor, timeBehind: computeBehind(number) };
+    const dependencies = [...new Set([...after, ...earlier])];
+    return { waitsFor: dependencies, timeBehind: computeDownstream(number) };
   });
 }
 
-/** Time from the start of a request to the end of its last stage. */
+/**
+ * Computes the time from the start of a request to the end of its last stage.
+ */
 export function computeStageTime(
   stages: readonly RouteStage[],
   durations: readonly Millis[],
--- a/packages/coordination/src/stage_pool.ts
+++ b/packages/coordination/src/stage_pool.ts
@@ -1,5 +1,5 @@
 /**
- * One pool of endpoints as one entry uses it: a queue in front, an adaptive
+ * One entry's view of a pool of endpoints: a queue, an adaptive concurrency
  * limit for each endpoint, and the choice of the endpoint.
  *
  * @module
@@ -20,20 +20,20 @@
 import { createLatencyModel } from "./latency_model.ts";
 import type { SendAllowance } from "./send_allowance.ts";
 import type { ChooseEndpoint, EndpointView } from "./routing.ts";
-import { estimateOthers } from "./routing.ts";
+import { estimateOtherInFlight } from "./routing.ts";
 import type { WorkClass } from "./work_queue.ts";
 import { createWorkQueue } from "./work_queue.ts";
 
-/** What one stage of a request needs from a pool. */
+/** The work of one stage of a request in a pool. */
 export interface PoolWork {
   workClass: WorkClass;
   account: string;
-  /** Input size, in the unit that the pool's time depends on most. */
+  /** Input size, in the unit that predicts the pool's service time best. */
   size: number;
   deadline: Deadline;
-  /** Time that the stages after this one need at least. */
+  /** Minimum time of the stages after this one. */
   reserve: Millis;
-  /** Share of one service time that a cached prefix would save there. */
+  /** Returns the share of one service time that a cached prefix saves there. */
   affinity?: (endpoint: EndpointInfo) => number;
 }
 
@@ -43,26 +43,28 @@
   | "unreachable"
   | "failing"
   | "overloaded"
-  /** Given up by us: says nothing about the endpoint. */
+  /** Cancelled by this entry; says nothing about the endpoint. */
   | "abandoned"
-  /** Given up by us because the endpoint was slower than it should be. */
+  /** Cancelled by this entry because the endpoint was slower than expected. */
   | "too_slow";
 
-/** The right to have one attempt at one endpoint. Must be released once. */
+/** A permit for one attempt at one endpoint. Must be released once. */
 export interface Permit {
   readonly endpoint: EndpointInfo;
-  /** Notes the time until the (first part of the) answer. */
+  /** Records the time until the answer, or the first part of a streamed one. */
   recordLatency(latency: Millis): void;
-  /** Ends the attempt; `pause`: for how long its endpoint wants nothing. */
+  /**
+   * Ends the attempt; `pause` is the time for which the endpoint refuses work.
+   */
   release(end: AttemptEnd, pause?: Millis): void;
 }
 
-/** How the pool decides; others are passed in to compare with. */
+/** The pool's policy; benchmarks pass in baselines for comparison. */
 export interface PoolPolicy {
   choose: ChooseEndpoint;
-  /** Whether work waits here for a free slot, in order of priority. */
+  /** Whether work is queued here for a free slot, in order of priority. */
   hasLimits: boolean;
-  /** Whether slow and dead endpoints are taken out of use. */
+  /** Whether slow and dead endpoints are ejected. */
   hasEjection: boolean;
 }
 
@@ -71,22 +73,24 @@
   clock: Clock;
   policy: PoolPolicy;
   estimateAttainment: (className: string) => number;
-  /** Told when an endpoint is taken out of use. */
+  /** Called when an endpoint is ejected. */
   onEjected: (endpoint: EndpointInfo, cause: string) => void;
-  /** What may be sent to endpoints that ask for less; all if left out. */
+  /**
+   * Limits what is sent to endpoints that ask for less; unlimited if omitted.
+   */
   allowance?: Pick<SendAllowance, "mayBegin" | "begin" | "readShortestWait">;
-  /** Told when an endpoint wants nothing for a while. */
+  /** Called when an endpoint refuses work for some time. */
   onPause?: (endpoint: EndpointInfo, pause: Millis) => void;
 }
 
-/** What can be read off a pool, for metrics. */
+/** The state of a pool, for metrics. */
 export interface PoolStatus {
   queued: number;
   inFlight: number;
   endpoints: EndpointStatus[];
 }
 
-/** What can be read off one endpoint. */
+/** The state of one endpoint, for metrics. */
 export interface EndpointStatus {
   id: string;
   inFlight: number;
@@ -95,28 +99,32 @@
   isEjected: boolean;
 }
 
-/** One pool of endpoints. */
+/** A pool of endpoints. */
 export interface StagePool {
-  /** Replaces the endpoints that take new work. */
+  /** Replaces the set of endpoints that accept new work. */
   refresh(endpoints: readonly EndpointInfo[]): void;
   recordReport(endpointKey: string, report: LoadReport): void;
-  /** Waits for a slot; the failure's verdict is `not_run` for this attempt. */
+  /** Waits for a slot; a failure always has the verdict `not_run`. */
   acquire(work: PoolWork): Promise<Result<Permit, Failure>>;
-  /** Takes a slot at once at an endpoint other than `avoid`, or none. */
-  tryAcquire(work: PoolWork, avoid: readonly EndpointInfo[]):
+  /**
+   * Takes a slot without waiting at an endpoint not in `excluded`, if one is
+   * free.
+   */
+  tryAcquire(work: PoolWork, excluded: readonly EndpointInfo[]):
     | Permit
     | undefined;
-  /** Expected time in the queue for new work of a priority. */
+  /** Estimates the queueing time of new work of a priority. */
   estimateWait(priority: number): Millis;
-  /** Expected time of one attempt at present, for work of a priority. */
+  /** Estimates the current duration of one attempt of a priority. */
   estimateService(size: number, priority: number): Millis;
-  /** Time of one attempt without any queueing. */
+  /** Estimates the duration of one attempt without queueing at the endpoint. */
   estimateUnloaded(size: number): Millis;
-  /** Time that about one attempt in twenty exceeds. */
+  /** Estimates the 95th percentile of the duration of one attempt. */
   estimateSlow(size: number): Millis;
   readStatus(): PoolStatus;
 }
 
+/** The state of one endpoint of the pool. */
 interface Slot extends EndpointView {
   info: EndpointInfo;
   inFlight: number;
@@ -131,29 +139,32 @@
   settle(outcome: Result<Permit, Failure>): void;
 }
 
-interface MeasuredRatio {
+interface LatencyRatio {
   value: number;
   at: Millis;
 }
 
-const START_LIMIT = 4;
+const INITIAL_LIMIT = 4;
 const MAX_LIMIT = 64;
 const MAX_QUEUED = 2_000;
 const EJECTION_CHECK_INTERVAL: Millis = 200;
-/** How soon waiting work looks again when every endpoint is out of use. */
+/** How often queued work retries while no endpoint can be used. */
 const RECHECK_INTERVAL: Millis = 50;
-/** Reports older than this say nothing about the present. */
-const REPORT_LIFETIME: Millis = 5_000;
-/** What the highest priority may queue at an endpoint, in multiples of slots. */
-const QUEUED_SHARE = 3;
-/** The limit that is shown is the one for the least important work. */
+/** Load reports older than this are ignored. */
+const MAX_REPORT_AGE: Millis = 5_000;
+/**
+ * What the highest priority may queue at an endpoint, in multiples of its
+ * slots.
+ */
+const MAX_QUEUED_FACTOR = 3;
+/** The limit in the status is the one for the least important work. */
 const LOWEST_PRIORITY = 100;
-/** With fewer waiting, a rate of grants is mere chance. */
+/** With less work waiting, the rate of grants is not significant. */
 const MIN_WAITING = 3;
-/** Grants a second that are expected where none were seen lately. */
+/** Grants a second assumed if none were seen recently. */
 const MIN_GRANT_RATE = 0.2;
 const RATIO_WEIGHT = 0.1;
-const RATIO_LIFETIME: Millis = 3_000;
+const RATIO_DECAY_TIME: Millis = 3_000;
 const DURATION_WEIGHT = 0.05;
 const RETRY_AFTER_NO_ENDPOINT: Millis = 1_000;
 
@@ -165,8 +176,8 @@
   const slots = new Map<string, Slot>();
   const inProgress = new Map<string, number>();
   const latencies = createLatencyModel();
-  /** Recent time against the unloaded time, by priority. */
-  const ratios = new Map<number, MeasuredRatio>();
+  /** Recent latency relative to the unloaded latency, by priority. */
+  const ratios = new Map<number, LatencyRatio>();
   const queue = createWorkQueue<Waiter>({
     estimateAttainment,
     countInProgress: (account) => inProgress.get(account) ?? 0,
@@ -187,7 +198,7 @@
       if (slot === undefined) slots.set(key, createSlot(info));
       else slot.info = info;
     }
-    // Attempts in progress at a removed endpoint go on; they hold its slot.
+    // Attempts in progress at a removed endpoint continue and keep its slot.
     for (const key of slots.keys()) if (!keys.has(key)) slots.delete(key);
     dispatch();
   }
@@ -201,7 +212,7 @@
       inFlightAtReport: 0,
       limit: createConcurrencyLimit({
         clock,
-        start: START_LIMIT,
+        start: INITIAL_LIMIT,
         max: MAX_LIMIT,
       }),
       health,
@@ -211,21 +222,21 @@
     };
   }
 
-  function listInUse(): Slot[] {
+  function listHealthy(): Slot[] {
     const all = [...slots.values()];
     if (!policy.hasEjection) return all;
     const healthy = all.filter(({ health }) => !health.isEjected());
-    // With all out of use any answer is better than none: a refusal by a dead
-    // endpoint costs little and tells at once when it is back.
+    // If all are ejected, all are used: a connection refused by a dead endpoint
+    // costs little, and the first success shows that it is back.
     return healthy.length > 0 ? healthy : all;
   }
 
   function findFree(
     { workClass }: PoolWork,
-    avoid: readonly EndpointInfo[],
+    excluded: readonly EndpointInfo[],
   ): Slot[] {
-    return listInUse().filter((slot) =>
-      !avoid.includes(slot.info) &&
+    return listHealthy().filter((slot) =>
+      !excluded.includes(slot.info) &&
       (allowance?.mayBegin(slot.info) ?? true) &&
       (!policy.hasLimits ||
         slot.inFlight < readLimit(slot, workClass.priority))
@@ -233,28 +244,28 @@
   }
 
   /**
-   * An endpoint that reports its slots is kept full: what others have there by
-   * its last report is left to them. Work of a higher priority may be queued
-   * there too, because such endpoints honour priorities: waiting here, it would
-   * stand behind work of a lower priority that other entries have there. For
-   * endpoints that report nothing the limit is learnt.
+   * The limit of an endpoint that reports its slots is its slots less the work
+   * of other entries by its last report. Work of a higher priority may be
+   * queued there beyond that, because such endpoints honour priorities: if it
+   * waited here, it would be behind work of a lower priority that other entries
+   * have there. For endpoints without reports the adaptive limit applies.
    */
   function readLimit(slot: Slot, priority: number): number {
     const { report } = slot;
     const now = clock.now();
-    if (report === undefined || now - report.takenAt > REPORT_LIFETIME) {
+    if (report === undefined || now - report.takenAt > MAX_REPORT_AGE) {
       return slot.limit.value;
     }
-    const room = report.slots * (1 + QUEUED_SHARE / priority ** 3) -
-      estimateOthers(slot, now);
+    const room = report.slots * (1 + MAX_QUEUED_FACTOR / priority ** 3) -
+      estimateOtherInFlight(slot, now);
     return Math.max(1, Math.floor(room));
   }
 
   function choose(
     work: PoolWork,
-    avoid: readonly EndpointInfo[],
+    excluded: readonly EndpointInfo[],
   ): Slot | undefined {
-    const free = findFree(work, avoid);
+    const free = findFree(work, excluded);
     const { affinity } = work;
     return policy.choose(free, affinity === undefined ? {} : { affinity });
   }
@@ -262,7 +273,7 @@
   function grant(slot: Slot, work: PoolWork): Permit {
     const startedAt = clock.now();
     let isReleased = false;
-    noteGrant(work.workClass);
+    recordGrant(work.workClass);
     slot.inFlight++;
     inFlight++;
     allowance?.begin(slot.info);
@@ -284,35 +295,35 @@
       if (pause !== undefined) onPause?.(slot.info, pause);
       slot.inFlight--;
       inFlight--;
-      dropInProgress(work.account);
+      removeInProgress(work.account);
       const duration = clock.now() - startedAt;
-      if (end === "done") noteDuration(duration);
-      noteEnd(slot, { end, size: work.size, duration });
+      if (end === "done") recordDuration(duration);
+      recordOutcome(slot, { end, size: work.size, duration });
       dispatch();
     }
 
     return { endpoint: slot.info, recordLatency, release };
   }
 
-  function noteGrant({ priority }: WorkClass): void {
+  function recordGrant({ priority }: WorkClass): void {
     const rate = grants.get(priority) ?? createEventRate(clock);
     grants.set(priority, rate);
     rate.record();
   }
 
-  function noteDuration(duration: Millis): void {
+  function recordDuration(duration: Millis): void {
     meanDuration = meanDuration === 0
       ? duration
       : meanDuration + DURATION_WEIGHT * (duration - meanDuration);
   }
 
-  function dropInProgress(account: string): void {
+  function removeInProgress(account: string): void {
     const count = (inProgress.get(account) ?? 1) - 1;
     if (count === 0) inProgress.delete(account);
     else inProgress.set(account, count);
   }
 
-  function noteEnd(
+  function recordOutcome(
     slot: Slot,
     { end, size, duration }: {
       end: AttemptEnd;
@@ -355,7 +366,7 @@
       queue.remove(waiter);
       waiter.settle(
         slot === undefined
-          ? Result.err(failEmpty())
+          ? Result.err(failNoEndpoint())
           : Result.ok(grant(slot, waiter)),
       );
     }
@@ -370,15 +381,15 @@
   }
 
   function acquire(work: PoolWork): Promise<Result<Permit, Failure>> {
-    if (slots.size === 0) return Promise.resolve(Result.err(failEmpty()));
-    // Nobody overtakes: with work waiting, new work joins the queue.
+    if (slots.size === 0) return Promise.resolve(Result.err(failNoEndpoint()));
+    // New work must not overtake queued work.
     const slot = queue.size === 0 ? choose(work, []) : undefined;
     if (slot !== undefined) {
       return Promise.resolve(Result.ok(grant(slot, work)));
     }
     const shortest = readShortestWait();
-    if (shortest > computeLatest(work)) {
-      return Promise.resolve(Result.err(failHeldBack(shortest)));
+    if (shortest > computeMaxWait(work)) {
+      return Promise.resolve(Result.err(failThrottled(shortest)));
     }
     if (queue.size >= MAX_QUEUED) {
       return Promise.resolve(Result.err(failOverloaded("the queue is full")));
@@ -386,19 +397,19 @@
     return waitForSlot(work);
   }
 
-  /** Time until some endpoint takes a call by its own word. */
+  /** Returns the time until some endpoint accepts a call by its own report. */
   function readShortestWait(): Millis {
     const endpoints = [...slots.values()].map(({ info }) => info);
     return allowance?.readShortestWait(endpoints) ?? 0;
   }
 
-  /** How long work may wait and still be done. */
-  function computeLatest({ deadline, reserve, size }: PoolWork): Millis {
+  /** Returns how long work may wait and still meet its deadline. */
+  function computeMaxWait({ deadline, reserve, size }: PoolWork): Millis {
     return deadline.remaining() - reserve - latencies.estimateUnloaded(size);
   }
 
-  /** Another entry may call the endpoints sooner than this one. */
-  function failHeldBack(wait: Millis): Failure {
+  /** Names the wait of this entry; other entries may be able to call sooner. */
+  function failThrottled(wait: Millis): Failure {
     return createFailure("overloaded", {
       verdict: "not_run",
       message: "no endpoint takes work",
@@ -410,10 +421,10 @@
     const { deadline } = work;
     return new Promise((resolve) => {
       const stopTimer = clock.startTimer(
-        computeLatest(work),
-        () => giveUp(failOverloaded("no endpoint came free in time")),
+        computeMaxWait(work),
+        () => reject(failOverloaded("no endpoint came free in time")),
       );
-      const onAbort = () => giveUp(failCancelled());
+      const onAbort = () => reject(failCancelled());
       const waiter: Waiter = {
         ...work,
         settle(outcome) {
@@ -422,7 +433,7 @@
           resolve(outcome);
         },
       };
-      function giveUp(failure: Failure): void {
+      function reject(failure: Failure): void {
         queue.remove(waiter);
         waiter.settle(Result.err(failure));
       }
@@ -442,31 +453,32 @@
 
   function tryAcquire(
     work: PoolWork,
-    avoid: readonly EndpointInfo[],
+    excluded: readonly EndpointInfo[],
   ): Permit | undefined {
     if (queue.size > 0) return undefined;
-    const slot = choose(work, avoid);
+    const slot = choose(work, excluded);
     return slot && grant(slot, work);
   }
 
-  /** Endpoints that honour priorities serve some classes faster than others. */
+  /** Goes by priority, since some endpoints serve high priorities faster. */
   function estimateService(size: number, priority: number): Millis {
     const unloaded = latencies.estimateUnloaded(size);
     const known = ratios.get(priority);
     if (known === undefined) return unloaded;
-    // What is refused measures nothing: a bad estimate would refuse for ever.
-    const trust = Math.exp((known.at - clock.now()) / RATIO_LIFETIME);
+    // Refused work yields no samples, so without decay a high estimate would
+    // cause refusals for ever.
+    const trust = Math.exp((known.at - clock.now()) / RATIO_DECAY_TIME);
     return unloaded * (1 + (known.value - 1) * trust);
   }
 
   /**
-   * Slots that come free go to higher priorities first, so what a priority may
-   * expect is what it was granted lately, not what the endpoints do in all.
+   * Free slots go to higher priorities first, so the estimate is based on the
+   * recent grants of this priority and not on the total throughput.
    */
   function estimateWait(priority: number): Millis {
     if (queue.size === 0 || inFlight === 0) return 0;
     const byDuration = queue.countAhead(priority) * meanDuration / inFlight;
-    const same = queue.countSame(priority);
+    const same = queue.countAtPriority(priority);
     if (same < MIN_WAITING) return byDuration;
     const rate = Math.max(MIN_GRANT_RATE, grants.get(priority)?.read() ?? 0);
     return Math.max(byDuration, 1_000 * same / rate);
@@ -503,7 +515,7 @@
   };
 }
 
-function failEmpty(): Failure {
+function failNoEndpoint(): Failure {
   return createFailure("unavailable", {
     verdict: "not_run",
     message: "no endpoint of the pool takes new work",
