--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -1,8 +1,8 @@
 /**
- * The attempts of one request at endpoints.
+ * Sends a request to endpoints and retries it where the route permits.
  *
- * What may not be repeated reaches a second endpoint only after the first has
- * said that it did not run it, or if nothing was sent. Every further attempt
+ * A request that must not run twice is sent to a second endpoint only if the
+ * first reported that it did not run it, or if nothing was sent. Every retry
  * draws on the pool's retry budget.
  *
  * @module
@@ -34,61 +34,64 @@
 import type { ServingState } from "./serving_state.ts";
 import type { StageResults } from "./stage_graph.ts";
 
-/** What the attempts work on. */
+/** Options of {@linkcode runAttempts}. */
 export interface AttemptOptions {
   request: PassedRequest;
   response: CallerResponse;
   admitted: AdmittedRoute;
   deadline: Deadline;
-  /** Results of the stages; undefined where the route has none. */
+  /** Results of the route's stages; undefined if it has none. */
   results: StageResults | undefined;
 }
 
 /** How the attempts ended. */
 export interface AttemptOutcome {
-  /** Undefined if an endpoint's answer was passed on. */
+  /** Undefined if an endpoint's answer was forwarded to the caller. */
   failure?: Failure;
   attempts: number;
   status?: number;
   endpoint?: string;
-  /** Whether a passed answer was complete. */
+  /** Whether the forwarded answer was complete. */
   end?: "complete" | "cut";
 }
 
-/** The end of one attempt that gave the caller nothing. */
-interface LostAttempt {
+/** An attempt of which nothing was sent to the caller. */
+interface FailedAttempt {
   kind: "lost";
   verdict: Verdict;
   message: string;
   load: LoadEnd;
   reason?: NotRunReason;
-  /** An endpoint's failure that may be passed on if nothing better comes. */
-  fallback?: WholeReply;
+  /** An error response to forward if no later attempt succeeds. */
+  fallback?: BufferedReply;
 }
 
-interface WholeReply {
+interface BufferedReply {
   reply: EndpointReply;
   body: Buffer;
 }
 
-type AttemptEnd = LostAttempt | {
+type AttemptResult = FailedAttempt | {
   kind: "answered";
   status: number;
   end: "complete" | "cut";
   load: LoadEnd;
 };
 
-/** Attempts that did not run anywhere are repeated this often. */
-const MAX_TRIES = 4;
+/** The most attempts for one request, counting those that did not run. */
+const MAX_ATTEMPTS = 4;
 const MAX_ANSWER_BYTES = 8_388_608;
 const FIRST_FAILING_STATUS = 500;
 
-/** The size of a request, in prompt tokens. */
+/** Returns the size of a request in prompt tokens, at least 1. */
 export function sumTokens(parts: readonly PromptPart[]): number {
   return parts.reduce((sum, { tokens }) => sum + tokens, 1);
 }
 
-/** The endpoint for a request now, if there is one. */
+/**
+ * Returns the best endpoint that may be sent the request now, if there is one.
+ * Endpoints that are due for a probe of their limit come first.
+ */
 export function chooseEndpoint(
   { directory, loads, membership, findEngineChoice, sendAllowance }:
     ServingState,
@@ -103,17 +106,20 @@
   const inUse = loads.listInUse(usable);
   const engine = admitted.table.findPool(admitted.pool)?.engine;
   const ranked = engine === undefined
-    ? listByLoad(inUse, membership.self.place)
+    ? sortByCost(inUse, membership.self.place)
     : findEngineChoice(admitted.pool)
       .list(request.head.promptParts, inUse, engine);
-  const isDue = ({ info }: EndpointLoad) =>
+  const isProbeDue = ({ info }: EndpointLoad) =>
     sendAllowance.isAskDue(info) && sendAllowance.mayBegin(info);
-  const chosen = ranked.find(isDue) ??
+  const chosen = ranked.find(isProbeDue) ??
     ranked.find(({ info }) => sendAllowance.mayBegin(info));
   return chosen?.info;
 }
 
-/** Time until some endpoint of a pool takes a request by its own word. */
+/**
+ * Returns the time until some endpoint of a pool accepts a request, by the
+ * limits and pauses that the endpoints reported.
+ */
 export function readShortestWait(
   { directory, sendAllowance }: Pick<
     ServingState,
@@ -124,19 +130,19 @@
   return sendAllowance.readShortestWait(directory.listUsable(pool));
 }
 
-/** A place away costs as much as this many requests in progress. */
-const OTHER_PLACE_LOAD = 0.5;
+/** Cost of an endpoint in another place, in requests in progress. */
+const OTHER_PLACE_COST = 0.5;
 
-function listByLoad(
+function sortByCost(
   endpoints: readonly EndpointLoad[],
   ownPlace: string,
 ): EndpointLoad[] {
   const estimateCost = ({ info, load, slowness }: EndpointLoad) =>
-    (1 + load) * slowness + (info.place === ownPlace ? 0 : OTHER_PLACE_LOAD);
+    (1 + load) * slowness + (info.place === ownPlace ? 0 : OTHER_PLACE_COST);
   return [...endpoints].sort((a, b) => estimateCost(a) - estimateCost(b));
 }
 
-/** Makes attempts until one is answered or no more is allowed. */
+/** Makes attempts until one is answered or no further one is allowed. */
 export async function runAttempts(
   state: ServingState,
   options: AttemptOptions,
@@ -146,24 +152,25 @@
   const mayRepeat = mayRunAgain(route);
   const avoid: string[] = [];
   let runs = 0;
-  let last: LostAttempt | undefined;
+  let last: FailedAttempt | undefined;
   let endpointId: string | undefined;
   for (let attempts = 0;; attempts++) {
-    // Its stages take long enough for endpoints to end under it elsewhere.
+    // Checked again before each attempt: while the stages ran, the same content
+    // may have crashed endpoints that it reached through other entries.
     const refusal = state.runWatch.findRefusal({ request, account });
     if (refusal !== undefined && runs === 0) {
       return { failure: refusal, attempts };
     }
-    const isAllowed = refusal === undefined && attempts < MAX_TRIES &&
+    const isAllowed = refusal === undefined && attempts < MAX_ATTEMPTS &&
       runs < route.maxAttempts &&
       (runs === 0 || mayRepeat) && !deadline.signal.aborted;
     const endpoint = isAllowed
       ? chooseEndpoint(state, { request, admitted, avoid })
       : undefined;
-    const isPaid = attempts === 0 || endpoint === undefined ||
+    const isWithinBudget = attempts === 0 || endpoint === undefined ||
       state.findBudget(pool).withdraw();
-    if (endpoint === undefined || !isPaid) {
-      return finishLost(state, options, { last, attempts, endpointId, runs });
+    if (endpoint === undefined || !isWithinBudget) {
+      return finishFailed(state, options, { last, attempts, endpointId, runs });
     }
     endpointId = endpoint.id;
     const end = await runAttempt(state, options, endpoint);
@@ -185,22 +192,24 @@
   }
 }
 
-function finishLost(
+function finishFailed(
   state: ServingState,
   { response, deadline, admitted }: AttemptOptions,
   { last, attempts, endpointId, runs }: {
-    last: LostAttempt | undefined;
+    last: FailedAttempt | undefined;
     attempts: number;
     endpointId: string | undefined;
     runs: number;
   },
 ): AttemptOutcome {
-  const place = endpointId === undefined ? {} : { endpoint: endpointId };
+  const endpointField = endpointId === undefined
+    ? {}
+    : { endpoint: endpointId };
   if (last?.fallback !== undefined) {
     const { reply, body } = last.fallback;
     const { status, headers } = reply;
     response.sendWhole({ status, headers, body });
-    return { attempts, status, end: "complete", ...place };
+    return { attempts, status, end: "complete", ...endpointField };
   }
   const verdict: Verdict = runs === 0 ? "not_run" : "may_have_run";
   const message = last?.message ?? "no endpoint takes work";
@@ -212,10 +221,13 @@
       ? { retryAfterMs: computeRetryAfter(state, admitted.pool) }
       : {}),
   });
-  return { failure, attempts, ...place };
+  return { failure, attempts, ...endpointField };
 }
 
-/** Another entry may send there sooner than this one. */
+/**
+ * Returns when the caller should retry, with jitter. An infinite wait counts as
+ * none, as another entry may be able to send to the pool sooner than this one.
+ */
 export function computeRetryAfter(state: ServingState, pool: string): Millis {
   const wait = readShortestWait(state, pool);
   return spreadRetryAfter(Number.isFinite(wait) ? wait : 0, state.random);
@@ -225,7 +237,7 @@
   state: ServingState,
   options: AttemptOptions,
   endpoint: EndpointInfo,
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   const { clock, loads, callEndpoint, findDelays, runWatch } = state;
   const { request, admitted, deadline, results } = options;
   const startedAt = clock.now();
@@ -256,11 +268,11 @@
     loads.recordRatio(endpoint, ratio);
   };
   const end = answer.isErr
-    ? rejectFault(answer.error.sent, {
+    ? classifyFault(answer.error.sent, {
       message: answer.error.message,
       deadline,
     })
-    : await takeAnswer(options, answer.value, recordLatency);
+    : await handleAnswer(options, answer.value, recordLatency);
   loads.end(endpoint, end.load);
   if (end.load === "unreachable") state.noteUnreachable(endpoint);
   const { account } = admitted;
@@ -285,24 +297,24 @@
   return end;
 }
 
-function rejectFault(
+function classifyFault(
   sent: "no" | "maybe",
   { message, deadline }: { message: string; deadline: Deadline },
-): LostAttempt {
-  const isOurs = deadline.signal.aborted;
+): FailedAttempt {
+  const isAbortedHere = deadline.signal.aborted;
   return {
     kind: "lost",
     verdict: sent === "no" ? "not_run" : "may_have_run",
     message,
-    load: isOurs ? "neutral" : sent === "no" ? "unreachable" : "broken",
+    load: isAbortedHere ? "neutral" : sent === "no" ? "unreachable" : "broken",
   };
 }
 
-async function takeAnswer(
+async function handleAnswer(
   options: AttemptOptions,
   answer: EndpointAnswer,
   recordLatency: () => void,
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   if (answer.kind === "not_run") {
     return {
       kind: "lost",
@@ -324,18 +336,21 @@
     answer.status < 300;
   return isStream
     ? await streamReply(options, answer, recordLatency)
-    : await sendWholeReply(options, answer, recordLatency);
+    : await sendBufferedReply(options, answer, recordLatency);
 }
 
-/** Nothing is sent before the whole body is in: a cut one may be tried again. */
-async function sendWholeReply(
+/**
+ * Sends a response once its body is complete, so that a truncated one can still
+ * be retried.
+ */
+async function sendBufferedReply(
   { response, admitted, deadline }: AttemptOptions,
   reply: EndpointReply,
   recordLatency: () => void,
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   const body = await readBodyBytes(reply.body, MAX_ANSWER_BYTES);
   if (body === undefined) {
-    return rejectFault("maybe", {
+    return classifyFault("maybe", {
       message: "the answer broke off",
       deadline,
     });
@@ -356,26 +371,27 @@
   return { kind: "answered", status, end: "complete", load: "done" };
 }
 
-/** Passes events on as they come; the head waits for the first bytes. */
+/** Forwards chunks as they arrive; the head is sent with the first one. */
 async function streamReply(
   { response, deadline, results }: AttemptOptions,
   { status, headers, body }: EndpointReply,
   recordLatency: () => void,
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   try {
     for await (const chunk of body as AsyncIterable<Buffer>) {
       if (!response.isStarted) {
         recordLatency();
-        // The engine has fetched the results before it read the prompt.
+        // The engine fetches the stage results before it processes the prompt,
+        // so they are no longer needed after its first event.
         results?.release();
         response.startStream({ status, headers });
       }
       await response.write(chunk);
     }
   } catch {
-    // A broken stream must not look complete; the reason is the endpoint's.
+    // A stream that broke must not look complete to the caller.
     if (!response.isStarted) {
-      return rejectFault("maybe", {
+      return classifyFault("maybe", {
         message: "the stream broke off before its first event",
         deadline,
       });
--- a/packages/serving/src/attempt_loop_test.ts
+++ b/packages/serving/src/attempt_loop_test.ts
@@ -27,7 +27,7 @@
   { route = {}, budget = 10 }: { route?: Partial<Route>; budget?: number } = {},
 ) {
   const clock = createFakeClock(0);
-  const asked: EndpointInfo[] = [];
+  const called: EndpointInfo[] = [];
   const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
   directory.replaceAll(["e1", "e2", "e3"].map((id) => createTestEndpoint(id)));
   const testRoute = createTestRoute(route);
@@ -37,8 +37,8 @@
     readTable: () => table,
     directory,
     callEndpoint: ({ endpoint }) => {
-      const step = steps[asked.length]?.() ?? "no";
-      asked.push(endpoint);
+      const step = steps[called.length]?.() ?? "no";
+      called.push(endpoint);
       return Promise.resolve<Result<EndpointAnswer, HttpFault>>(
         typeof step === "string"
           ? Result.err({ kind: "cut", sent: step, message: step })
@@ -61,50 +61,50 @@
     deadline: createDeadline({ clock, budget: 4_000 }),
     results: undefined,
   });
-  return { outcome, seen, asked: asked.map(({ id }) => id) };
+  return { outcome, seen, called: called.map(({ id }) => id) };
 }
 
-const GOOD = () => createTestReply(["whole"]);
+const COMPLETE = () => createTestReply(["whole"]);
 const FULL = (): Step => ({ kind: "not_run", reason: "full", load: undefined });
 const OTHER = (): Step => ({
   kind: "not_run",
   reason: "other_instance",
   load: undefined,
 });
-const BAD = (): Step => ({ kind: "invalid", reason: "no proof" });
+const INVALID = (): Step => ({ kind: "invalid", reason: "no proof" });
 const FAILED = () => createTestReply(["oops"], { status: 500 });
 const CUT = () => createTestReply(["half"], { isBroken: true });
 const MAYBE = (): Step => "maybe";
 const UNSENT = (): Step => "no";
 
 describe("attempts", () => {
-  // What a caller sees and how many endpoints were asked, by the kind of route
-  // and by what the first endpoints do. Whatever may have run is sent again
-  // only where that is allowed, and is never told as not run.
+  // What the caller receives and how many endpoints are called, by the kind of
+  // route and by how the first endpoints answer. A request that may have run is
+  // retried only where the route permits it, and is never reported as not run.
   const CASES = [
-    { kind: "idempotent", steps: [GOOD], seen: ["200 whole"] },
-    { kind: "idempotent", steps: [MAYBE, GOOD], seen: ["200 whole"] },
-    { kind: "idempotent", steps: [CUT, GOOD], seen: ["200 whole"] },
-    { kind: "idempotent", steps: [BAD, GOOD], seen: ["200 whole"] },
-    { kind: "idempotent", steps: [FAILED, GOOD], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [COMPLETE], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [MAYBE, COMPLETE], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [CUT, COMPLETE], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [INVALID, COMPLETE], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [FAILED, COMPLETE], seen: ["200 whole"] },
     { kind: "idempotent", steps: [FAILED, FAILED], seen: ["500 oops"] },
     { kind: "idempotent", steps: [MAYBE, MAYBE], verdict: "may_have_run" },
-    { kind: "idempotent", steps: [FULL, FULL, GOOD], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [FULL, FULL, COMPLETE], seen: ["200 whole"] },
     { kind: "idempotent", steps: [FULL, FULL, FULL], verdict: "not_run" },
-    { kind: "idempotent", steps: [FULL, MAYBE, GOOD], seen: ["200 whole"] },
-    { kind: "non_idempotent", steps: [GOOD], seen: ["200 whole"] },
-    { kind: "non_idempotent", steps: [FULL, GOOD], seen: ["200 whole"] },
-    { kind: "non_idempotent", steps: [OTHER, GOOD], seen: ["200 whole"] },
-    { kind: "non_idempotent", steps: [UNSENT, GOOD], seen: ["200 whole"] },
+    { kind: "idempotent", steps: [FULL, MAYBE, COMPLETE], seen: ["200 whole"] },
+    { kind: "non_idempotent", steps: [COMPLETE], seen: ["200 whole"] },
+    { kind: "non_idempotent", steps: [FULL, COMPLETE], seen: ["200 whole"] },
+    { kind: "non_idempotent", steps: [OTHER, COMPLETE], seen: ["200 whole"] },
+    { kind: "non_idempotent", steps: [UNSENT, COMPLETE], seen: ["200 whole"] },
     { kind: "non_idempotent", steps: [FAILED], seen: ["500 oops"] },
     { kind: "non_idempotent", steps: [MAYBE], verdict: "may_have_run" },
     { kind: "non_idempotent", steps: [CUT], verdict: "may_have_run" },
-    { kind: "non_idempotent", steps: [BAD], verdict: "may_have_run" },
+    { kind: "non_idempotent", steps: [INVALID], verdict: "may_have_run" },
     { kind: "non_idempotent", steps: [FULL, MAYBE], verdict: "may_have_run" },
     { kind: "stream", steps: [MAYBE], verdict: "may_have_run" },
     {
       kind: "stream",
-      steps: [GOOD],
+      steps: [COMPLETE],
       seen: ["stream 200", "whole", "complete"],
     },
     { kind: "stream", steps: [CUT], seen: ["stream 200", "half", "cut"] },
@@ -113,11 +113,11 @@
   for (const { kind, steps, ...expected } of CASES) {
     const names = steps.map((step) => step.name.toLowerCase()).join(", ");
     it(`${kind} after ${names}`, async () => {
-      const { seen, outcome, asked } = await run([...steps], {
+      const { seen, outcome, called } = await run([...steps], {
         route: { kind },
       });
-      expect(asked.length).to.equal(steps.length);
-      expect(new Set(asked).size).to.equal(asked.length);
+      expect(called.length).to.equal(steps.length);
+      expect(new Set(called).size).to.equal(called.length);
       if ("verdict" in expected) {
         expect(outcome.failure?.verdict).to.equal(expected.verdict);
         expect(seen).to.deep.equal([]);
@@ -125,19 +125,19 @@
     });
   }
 
-  // Endpoints fail together. Every caller's second attempt would double the
-  // load on those that are left.
-  it("makes no further attempt without budget", async () => {
-    const { asked, outcome } = await run([FULL, GOOD], { budget: 0 });
-    expect(asked.length).to.equal(1);
+  // When several endpoints fail together, a second attempt for every caller
+  // would double the load on the remaining ones.
+  it("makes no retry without retry budget", async () => {
+    const { called, outcome } = await run([FULL, COMPLETE], { budget: 0 });
+    expect(called.length).to.equal(1);
     expect(outcome.failure?.verdict).to.equal("not_run");
     expect(outcome.failure?.retryAfterMs).to.be.greaterThan(0);
   });
 
   it("runs a request on as many endpoints as its route allows", async () => {
-    const { asked } = await run([MAYBE, MAYBE, GOOD], {
+    const { called } = await run([MAYBE, MAYBE, COMPLETE], {
       route: { maxAttempts: 1 },
     });
-    expect(asked.length).to.equal(1);
+    expect(called.length).to.equal(1);
   });
 });
--- a/packages/serving/src/request_admission.ts
+++ b/packages/serving/src/request_admission.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a request may be served here and as whose, from its head and
- * the configuration in force.
+ * Authenticates a request and selects its route and pool, from its head and the
+ * configuration in force.
  *
  * @module
  */
@@ -16,30 +16,30 @@
 import type { RequestHead } from "./serving_handles.ts";
 import type { ServingState } from "./serving_state.ts";
 
-/** A request that may be served. */
+/** What a request was admitted to. */
 export interface AdmittedRoute {
   route: Route;
   table: RouteTable;
   /** The pool that answers this request. */
   pool: string;
-  /** The name of the client account, if there are accounts. */
+  /** The name of the client account; undefined on routes without accounts. */
   account: string | undefined;
   /** 0 is the highest. */
   priority: number;
   /**
-   * The order at stages, 0 first: by priority, and among the requests of
-   * accounts of one priority by that of their routes.
+   * The rank in stage queues, 0 first: by priority, and within one account
+   * priority by the priority of the route.
    */
   rank: number;
 }
 
-/** Priorities of routes that are told apart within one of an account. */
+/** Route priorities that are distinguished within one account priority. */
 const ROUTE_PRIORITIES = 16;
 
-/** A caller that comes back this much later may find another entry. */
+/** A caller that retries after this time may reach another entry. */
 const RETRY_AFTER_STALE: Millis = 300;
 
-/** Finds the route, the account and the pool of a request. */
+/** Finds the route, the client account and the pool of a request. */
 export function admitRequest(
   { readTable, configAge, isBehindPeers, maxKeyAge, random }: ServingState,
   head: RequestHead,
@@ -48,10 +48,10 @@
   if (table === undefined) {
     return Result.err(failStale("no configuration is known yet"));
   }
-  // An entry that was cut off or paused, or that started before a store which
+  // An entry that was disconnected or paused, or that read from a store which
   // has lost the newest configuration, does not know which routes and keys were
-  // added or taken away. A key that was taken away must not open anything, so
-  // nothing is decided on knowledge that old.
+  // added or revoked. A revoked key must not grant access and a new route must
+  // not be reported as missing, so neither is decided by a stale configuration.
   const isStale = configAge.read() > maxKeyAge || isBehindPeers();
   const route = table.findRoute(head.host, readPath(head.target));
   if (route === undefined) {
@@ -86,8 +86,9 @@
   return Result.ok({ route, table, pool, account: name, priority, rank });
 }
 
-function computeRank(priority: number, ofRoute: number): number {
-  return priority * ROUTE_PRIORITIES + Math.min(ROUTE_PRIORITIES - 1, ofRoute);
+function computeRank(priority: number, routePriority: number): number {
+  return priority * ROUTE_PRIORITIES +
+    Math.min(ROUTE_PRIORITIES - 1, routePriority);
 }
 
 function readPath(target: string): string {
@@ -100,10 +101,10 @@
   random: () => number,
 ): string {
   const total = pools.reduce((sum, { weight }) => sum + weight, 0);
-  let left = random() * total;
+  let draw = random() * total;
   for (const { pool, weight } of pools) {
-    left -= weight;
-    if (left < 0) return pool;
+    draw -= weight;
+    if (draw < 0) return pool;
   }
   return pools[0]?.pool ?? "";
 }
--- a/packages/serving/src/request_admission_test.ts
+++ b/packages/serving/src/request_admission_test.ts
@@ -40,20 +40,20 @@
     return `${route.name} ${account} ${priority}`;
   }
 
-  // What a caller gets by its key, its path, and the age of what is known. An
-  // entry that was cut off must not open anything with a key that may have been
-  // taken away, and must not tell that a new route is unknown.
+  // The result by key, path and age of the configuration. An entry that was
+  // disconnected from the store must not accept a key that may have been
+  // revoked, and must not answer "not found" for a route that may be new.
   const CASES = [
     { name: "a known key", head: { key: "k" }, result: "keyed one 0" },
     {
-      name: "a key without priority of its own",
+      name: "a key of an account without a priority",
       head: { key: "l" },
       result: "keyed two 1",
     },
     { name: "an unknown key", head: { key: "x" }, result: "unauthorized" },
     { name: "no key", head: {}, result: "unauthorized" },
     {
-      name: "no key on an open route",
+      name: "no key on a public route",
       head: { target: "/open/x" },
       result: "open undefined 1",
     },
@@ -63,25 +63,25 @@
       result: "not_found",
     },
     {
-      name: "a known key, old knowledge",
+      name: "a known key, stale configuration",
       head: { key: "k" },
       age: MAX_KEY_AGE + 1,
       result: "unavailable",
     },
     {
-      name: "an unknown key, old knowledge",
+      name: "an unknown key, stale configuration",
       head: { key: "x" },
       age: MAX_KEY_AGE + 1,
       result: "unavailable",
     },
     {
-      name: "an unknown route, old knowledge",
+      name: "an unknown route, stale configuration",
       head: { target: "/none/" },
       age: MAX_KEY_AGE + 1,
       result: "unavailable",
     },
     {
-      name: "an open route, old knowledge",
+      name: "a public route, stale configuration",
       head: { target: "/open/x" },
       age: MAX_KEY_AGE + 1,
       result: "open undefined 1",
