--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -23,7 +23,7 @@
 import type { Millis } from "@mangoreach/shared";
 import type { CallerResponse } from "./caller_response.ts";
 import { mayRunAgain, startEarlyRelease } from "./early_release.ts";
-import type { EndpointLoad, LoadEnd } from "./endpoint_load.ts";
+import type { AttemptResult, EndpointLoad } from "./endpoint_load.ts";
 import type { AdmittedRoute } from "./request_admission.ts";
 import type {
   EndpointAnswer,
@@ -60,7 +60,7 @@
   kind: "lost";
   verdict: Verdict;
   message: string;
-  load: LoadEnd;
+  load: AttemptResult;
   reason?: NotRunReason;
   /** An error response to forward if no later attempt succeeds. */
   fallback?: BufferedReply;
@@ -71,11 +71,11 @@
   body: Buffer;
 }
 
-type AttemptResult = FailedAttempt | {
+type FinishedAttempt = FailedAttempt | {
   kind: "answered";
   status: number;
   end: "complete" | "cut";
-  load: LoadEnd;
+  load: AttemptResult;
 };
 
 /** The most attempts for one request, counting those that did not run. */
@@ -237,7 +237,7 @@
   state: ServingState,
   options: AttemptOptions,
   endpoint: EndpointInfo,
-): Promise<AttemptResult> {
+): Promise<FinishedAttempt> {
   const { clock, loads, callEndpoint, findDelays, runWatch } = state;
   const { request, admitted, deadline, results } = options;
   const startedAt = clock.now();
@@ -314,7 +314,7 @@
   options: AttemptOptions,
   answer: EndpointAnswer,
   recordLatency: () => void,
-): Promise<AttemptResult> {
+): Promise<FinishedAttempt> {
   if (answer.kind === "not_run") {
     return {
       kind: "lost",
@@ -347,7 +347,7 @@
   { response, admitted, deadline }: AttemptOptions,
   reply: EndpointReply,
   recordLatency: () => void,
-): Promise<AttemptResult> {
+): Promise<FinishedAttempt> {
   const body = await readBodyBytes(reply.body, MAX_ANSWER_BYTES);
   if (body === undefined) {
     return classifyFault("maybe", {
@@ -376,7 +376,7 @@
   { response, deadline, results }: AttemptOptions,
   { status, headers, body }: EndpointReply,
   recordLatency: () => void,
-): Promise<AttemptResult> {
+): Promise<FinishedAttempt> {
   try {
     for await (const chunk of body as AsyncIterable<Buffer>) {
       if (!response.isStarted) {
--- a/packages/serving/src/endpoint_check.ts
+++ b/packages/serving/src/endpoint_check.ts
@@ -1,6 +1,6 @@
 /**
- * Tells an endpoint that has ended from one whose connection broke: the first
- * takes down whatever runs there, and may have ended because of it.
+ * Distinguishes a crashed endpoint from a broken connection. A crash takes down
+ * all requests that run at the endpoint, and one of them may have caused it.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 import { formatEndpointKey } from "@mangoreach/coordination";
 import type { Clock, Listening, Millis } from "@mangoreach/shared";
 
-/** What is known of an endpoint after a connection to it broke. */
+/** The state of an endpoint after a connection to it broke. */
 export type EndpointCondition = "ended" | "listening" | "unknown";
 
 /** Checks endpoints. */
 export interface EndpointCheck {
-  /** Asks the endpoint's address, unless it was asked a moment ago. */
+  /** Probes the endpoint's address, or returns the result of a recent probe. */
   checkCondition(endpoint: EndpointInfo): Promise<EndpointCondition>;
 }
 
@@ -24,10 +24,10 @@
 }
 
 /**
- * An endpoint that ends takes some dozen connections with it at once, and its
- * successor is seconds away: one question does for all of them.
+ * An endpoint that crashes breaks some dozen connections at once, and takes
+ * seconds to restart, so that one probe serves for all of them.
  */
-const ANSWER_LIFETIME: Millis = 500;
+const RESULT_TTL: Millis = 500;
 
 const CONDITIONS: Readonly<Record<Listening, EndpointCondition>> = {
   listening: "listening",
@@ -39,17 +39,17 @@
 export function createEndpointCheck(
   { clock, checkListening }: EndpointCheckOptions,
 ): EndpointCheck {
-  const answers = new Map<string, Promise<EndpointCondition>>();
+  const results = new Map<string, Promise<EndpointCondition>>();
 
   function checkCondition(endpoint: EndpointInfo): Promise<EndpointCondition> {
     const key = formatEndpointKey(endpoint);
-    const present = answers.get(key);
-    if (present !== undefined) return present;
-    const answer = checkListening(endpoint.address)
+    const cached = results.get(key);
+    if (cached !== undefined) return cached;
+    const result = checkListening(endpoint.address)
       .then((listening) => CONDITIONS[listening]);
-    answers.set(key, answer);
-    clock.startTimer(ANSWER_LIFETIME, () => answers.delete(key));
-    return answer;
+    results.set(key, result);
+    clock.startTimer(RESULT_TTL, () => results.delete(key));
+    return result;
   }
 
   return { checkCondition };
--- a/packages/serving/src/endpoint_check_test.ts
+++ b/packages/serving/src/endpoint_check_test.ts
@@ -12,7 +12,7 @@
   ];
 
   for (const [listening, condition] of CASES) {
-    it(`takes ${listening} for ${condition}`, async () => {
+    it(`reports ${listening} as ${condition}`, async () => {
       const check = createEndpointCheck({
         clock: createFakeClock(0),
         checkListening: () => Promise.resolve(listening),
@@ -22,22 +22,22 @@
     });
   }
 
-  it("asks once for all connections that broke together", async () => {
+  it("probes once for all connections that broke together", async () => {
     const clock = createFakeClock(0);
-    const asked: string[] = [];
+    const probed: string[] = [];
     const check = createEndpointCheck({
       clock,
       checkListening: (address) => {
-        asked.push(address);
+        probed.push(address);
         return Promise.resolve("refused");
       },
     });
     const endpoint = createTestEndpoint("e1");
     await Promise.all([1, 2, 3].map(() => check.checkCondition(endpoint)));
     await check.checkCondition({ ...endpoint, incarnation: "2" });
-    expect(asked).to.deep.equal(["e1", "e1"]);
+    expect(probed).to.deep.equal(["e1", "e1"]);
     await clock.advance(1_000);
     await check.checkCondition(endpoint);
-    expect(asked).to.have.length(3);
+    expect(probed).to.have.length(3);
   });
 });
--- a/packages/serving/src/endpoint_load.ts
+++ b/packages/serving/src/endpoint_load.ts
@@ -1,6 +1,6 @@
 /**
- * What this entry has in progress at each endpoint, what endpoints report of
- * others, and how they do.
+ * Tracks, for each endpoint, this entry's requests in progress, the load that
+ * the endpoint reported, and its health.
  *
  * @module
  */
@@ -17,43 +17,44 @@
 } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** How an attempt ended for its endpoint. */
-export type LoadEnd =
+/** The result of an attempt, as it counts for the endpoint's health. */
+export type AttemptResult =
   | "done"
   | "unreachable"
   | "failing"
-  /** The connection ended before the answer did, not by this side. */
+  /** The connection ended before the answer was complete, not by this side. */
   | "broken"
+  /** Says nothing about the endpoint's health. */
   | "neutral";
 
-/** What is known of one endpoint. */
+/** Load and health of one endpoint. */
 export interface EndpointLoad extends EngineView {
   readonly info: EndpointInfo;
-  /** Own requests in progress there. */
+  /** Requests of this entry in progress at the endpoint. */
   readonly inFlight: number;
   readonly health: EndpointHealth;
   readonly report: LoadReport | undefined;
 }
 
-/** The endpoints as this entry uses them. */
+/** Load and health of endpoints, as this entry sees them. */
 export interface EndpointLoads {
-  /** Puts what is known beside the endpoints of a pool. */
+  /** Returns load and health of each of these endpoints. */
   view(endpoints: readonly EndpointInfo[]): EndpointLoad[];
-  /** Those in use: with all ejected, all, as any is better than none. */
+  /** Leaves out ejected endpoints; returns all if all are ejected. */
   listInUse(endpoints: readonly EndpointInfo[]): EndpointLoad[];
   begin(endpoint: EndpointInfo): void;
-  end(endpoint: EndpointInfo, end: LoadEnd): void;
+  end(endpoint: EndpointInfo, end: AttemptResult): void;
   recordReport(endpoint: EndpointInfo, report: LoadReport): void;
-  /** Notes how long an answer took against what is expected; 1 is normal. */
+  /** Records a success by its ratio of measured to expected latency. */
   recordRatio(endpoint: EndpointInfo, ratio: number): void;
 }
 
-/** Reports older than this say nothing about the present. */
-const REPORT_LIFETIME: Millis = 2_000;
-/** What is known of endpoints that are gone is dropped above this many. */
-const MAX_KNOWN = 4_096;
+/** Older load reports are ignored. */
+const MAX_REPORT_AGE: Millis = 2_000;
+/** Above this many tracked endpoints, those without requests are dropped. */
+const MAX_TRACKED = 4_096;
 
-interface Known {
+interface EndpointState {
   pool: string;
   inFlight: number;
   inFlightAtReport: number;
@@ -61,42 +62,44 @@
   health: EndpointHealth;
 }
 
-/** Creates the view of an entry that has sent nothing yet. */
+/** Creates the loads; all endpoints are healthy and idle at first. */
 export function createEndpointLoads(clock: Clock): EndpointLoads {
-  const known = new Map<string, Known>();
+  const states = new Map<string, EndpointState>();
 
-  /** One that started again under its id is as unknown as any other. */
-  function find(endpoint: EndpointInfo): Known {
+  /** Returns the state of an endpoint; a restarted one has a new state. */
+  function findState(endpoint: EndpointInfo): EndpointState {
     const key = formatEndpointKey(endpoint);
-    const present = known.get(key);
-    if (present !== undefined) return present;
-    if (known.size >= MAX_KNOWN) dropIdle();
-    const created: Known = {
+    const existing = states.get(key);
+    if (existing !== undefined) return existing;
+    if (states.size >= MAX_TRACKED) dropIdle();
+    const created: EndpointState = {
       pool: endpoint.pool,
       inFlight: 0,
       inFlightAtReport: 0,
       report: undefined,
       health: createEndpointHealth(clock),
     };
-    known.set(key, created);
+    states.set(key, created);
     return created;
   }
 
   function dropIdle(): void {
-    for (const [key, { inFlight }] of known) {
-      if (inFlight === 0) known.delete(key);
+    for (const [key, { inFlight }] of states) {
+      if (inFlight === 0) states.delete(key);
     }
   }
 
-  function estimateLoad({ inFlight, inFlightAtReport, report }: Known): number {
+  function estimateLoad(
+    { inFlight, inFlightAtReport, report }: EndpointState,
+  ): number {
     if (report === undefined) return inFlight;
-    if (clock.now() - report.takenAt > REPORT_LIFETIME) return inFlight;
+    if (clock.now() - report.takenAt > MAX_REPORT_AGE) return inFlight;
     const others = report.running + report.queued - inFlightAtReport;
     return inFlight + Math.max(0, others);
   }
 
   function createView(info: EndpointInfo): EndpointLoad {
-    const endpoint = find(info);
+    const endpoint = findState(info);
     const { inFlight, health, report } = endpoint;
     const { slowness } = health;
     const load = estimateLoad(endpoint);
@@ -113,24 +116,24 @@
     view: (endpoints) => endpoints.map(createView),
     listInUse,
     begin(endpoint) {
-      find(endpoint).inFlight++;
+      findState(endpoint).inFlight++;
     },
     end(endpoint, end) {
-      const { health } = find(endpoint);
-      find(endpoint).inFlight--;
+      const { health } = findState(endpoint);
+      findState(endpoint).inFlight--;
       if (end === "unreachable") health.recordFailure("unreachable");
       if (end === "failing" || end === "broken") {
         health.recordFailure("failing");
       }
     },
     recordReport(endpoint, report) {
-      const target = find(endpoint);
+      const target = findState(endpoint);
       target.report = report;
       target.inFlightAtReport = target.inFlight;
     },
     recordRatio(endpoint, ratio) {
-      find(endpoint).health.recordSuccess(ratio);
-      const ofPool = [...known.values()]
+      findState(endpoint).health.recordSuccess(ratio);
+      const ofPool = [...states.values()]
         .filter(({ pool }) => pool === endpoint.pool);
       ejectSlowest(ofPool.map(({ health }) => health));
     },
--- a/packages/serving/src/endpoint_load_test.ts
+++ b/packages/serving/src/endpoint_load_test.ts
@@ -12,7 +12,7 @@
     return { clock, loads, endpoint, readLoad };
   }
 
-  it("counts own requests exactly, others by the last report", () => {
+  it("counts own requests exactly and others by the last report", () => {
     const { loads, endpoint, readLoad } = create();
     loads.begin(endpoint);
     loads.begin(endpoint);
@@ -23,9 +23,9 @@
     expect(readLoad()).to.equal(5);
   });
 
-  // A report is seconds old: the burst it saw is over, and requests would go
-  // round an endpoint that is idle.
-  it("forgets a report that is old", async () => {
+  // The burst that a report from seconds ago reflects is over; requests would
+  // avoid an endpoint that is idle by now.
+  it("ignores a stale report", async () => {
     const { loads, endpoint, readLoad, clock } = create();
     const report = { running: 9, queued: 9, slots: 8, takenAt: clock.now() };
     loads.recordReport(endpoint, report);
@@ -33,16 +33,16 @@
     expect(readLoad()).to.equal(0);
   });
 
-  it("takes an endpoint out of use that cannot be reached", () => {
+  it("ejects an endpoint that cannot be reached", () => {
     const { loads, endpoint } = create();
     loads.begin(endpoint);
     loads.end(endpoint, "unreachable");
     expect(loads.view([endpoint])[0]?.health.isEjected()).to.equal(true);
   });
 
-  // An endpoint is ejected for being dead, and starts again under its id. It can
-  // serve at once, but what was learnt of its predecessor kept users from it.
-  it("knows nothing of an endpoint that started again", () => {
+  // An endpoint that was ejected as dead restarts under its id and can serve at
+  // once. The state of its predecessor must not keep requests from it.
+  it("starts with a new state for an endpoint that restarted", () => {
     const { loads, endpoint } = create();
     loads.begin(endpoint);
     loads.begin(endpoint);
@@ -55,7 +55,7 @@
     expect(loads.view([again])[0]?.load).to.equal(0);
   });
 
-  it("never ejects for what we gave up ourselves", () => {
+  it("never ejects for attempts that this entry gave up itself", () => {
     const { loads, endpoint } = create();
     for (let index = 0; index < 20; index++) {
       loads.begin(endpoint);
--- a/packages/serving/src/endpoint_signals.ts
+++ b/packages/serving/src/endpoint_signals.ts
@@ -1,6 +1,6 @@
 /**
- * Takes what endpoints say, in answers on any way to them, of the work that they
- * take; one line for each change, and a count.
+ * Handles back-pressure signals in endpoints' answers to requests and stage
+ * calls: a rate limit, leaving, or a pause. Each change is logged and counted.
  *
  * @module
  */
@@ -17,28 +17,28 @@
 import type { Signalled } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 
-/** The way on which an answer came. */
-export type SignalWay = "request" | "stage_call" | "stage_release";
+/** The kind of call whose answer carried signals. */
+export type CallKind = "request" | "stage_call" | "stage_release";
 
-/** What was answered. */
+/** The call that was answered. */
 export interface SignalSource {
-  way: SignalWay;
-  /** Whom it was sent to; an address where no more is known. */
+  way: CallKind;
+  /** The called endpoint; its address if no more is known. */
   to: EndpointInfo | string;
-  /** When it was sent: its answer is no older. */
+  /** When the call was sent; its answer is not older than that. */
   sentAt: Millis;
 }
 
-/** An answer as far as it tells whose it is. */
-export interface SignalledAnswer extends Signalled {
+/** The part of an answer that shows which endpoint it came from. */
+export interface AnswerWithSignals extends Signalled {
   kind?: string;
   reason?: string;
 }
 
-/** Takes the signals of an answer. */
+/** Handles the signals of an answer. */
 export type NoteSignals = (
   source: SignalSource,
-  answer: SignalledAnswer,
+  answer: AnswerWithSignals,
 ) => void;
 
 /** Options of {@linkcode createSignalNotes}. */
@@ -48,21 +48,21 @@
   limits: Pick<EndpointLimits, "note" | "find">;
   directory: Pick<EndpointDirectory, "markLeaving">;
   pauses: Pick<EndpointPauses, "note">;
-  /** All endpoints that may be listening at an address. */
+  /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
 }
 
-interface HeardFrom {
+interface SignalOrigin {
   endpoint: EndpointInfo;
-  way: SignalWay;
+  way: CallKind;
   sentAt: Millis;
 }
 
-/** Creates the notes of an entry that no endpoint has told anything. */
+/** Creates the handler of one entry. */
 export function createSignalNotes(
   { log, metrics, limits, directory, pauses, listAt }: SignalNotesOptions,
 ): NoteSignals {
-  function noteLimit(from: HeardFrom, rateLimit?: number): void {
+  function applyLimit(from: SignalOrigin, rateLimit?: number): void {
     const { endpoint, sentAt } = from;
     const key = formatEndpointKey(endpoint);
     if (rateLimit !== undefined) metrics.countSignal(endpoint.pool, "limit");
@@ -74,7 +74,7 @@
     recordChange(from, { limit, outcome });
   }
 
-  function noteLeaving(from: HeardFrom): void {
+  function applyLeaving(from: SignalOrigin): void {
     const { endpoint } = from;
     metrics.countSignal(endpoint.pool, "leaving");
     const key = formatEndpointKey(endpoint);
@@ -83,7 +83,7 @@
     }
   }
 
-  function notePause(from: HeardFrom, pause: Millis): void {
+  function applyPause(from: SignalOrigin, pause: Millis): void {
     const { endpoint } = from;
     metrics.countSignal(endpoint.pool, "pause");
     pauses.note(formatEndpointKey(endpoint), pause);
@@ -91,7 +91,7 @@
   }
 
   function recordChange(
-    { endpoint, way }: HeardFrom,
+    { endpoint, way }: SignalOrigin,
     change: DecisionFields,
   ): void {
     log.record("endpoint_changed", {
@@ -104,28 +104,31 @@
     });
   }
 
-  function noteOne(from: HeardFrom, signals: EndpointSignals): void {
+  function applySignals(from: SignalOrigin, signals: EndpointSignals): void {
     const { rateLimit, isLeaving, pause } = signals;
-    noteLimit(from, rateLimit);
-    if (isLeaving) noteLeaving(from);
-    if (pause !== undefined) notePause(from, pause);
+    applyLimit(from, rateLimit);
+    if (isLeaving) applyLeaving(from);
+    if (pause !== undefined) applyPause(from, pause);
   }
 
-  /** An instance that was not meant has taken over the address. */
-  function listSpeakers(
+  /**
+   * Lists the endpoints that the signals apply to: the called one, or all at
+   * its address if another instance answered there.
+   */
+  function listReportingEndpoints(
     to: EndpointInfo | string,
-    { kind, reason }: SignalledAnswer,
+    { kind, reason }: AnswerWithSignals,
   ): readonly EndpointInfo[] {
     if (typeof to === "string") return listAt(to);
-    const isOther = kind === "not_run" && reason === "other_instance";
-    return isOther ? listAt(to.address) : [to];
+    const isOtherInstance = kind === "not_run" && reason === "other_instance";
+    return isOtherInstance ? listAt(to.address) : [to];
   }
 
   return ({ way, to, sentAt }, answer) => {
     const { signals } = answer;
     if (signals === undefined) return;
-    listSpeakers(to, answer).forEach((endpoint) =>
-      noteOne({ endpoint, way, sentAt }, signals)
+    listReportingEndpoints(to, answer).forEach((endpoint) =>
+      applySignals({ endpoint, way, sentAt }, signals)
     );
   };
 }
--- a/packages/serving/src/peer_penalties.ts
+++ b/packages/serving/src/peer_penalties.ts
@@ -1,50 +1,50 @@
 /**
- * Which peers are not asked for a while because they were of no use.
+ * Skips peers for a while that did not answer or had only stale data.
  *
- * The load it answers: an outage of the store, in which nobody has anything to
- * tell; questions would take the processor from requests.
+ * During an outage of the store no peer has fresh data; queries to peers would
+ * only take processor time from requests.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Why a peer was of no use: it did not answer, or has nothing young. */
-export type UselessKind = "silent" | "old";
+/** Why a peer is skipped: it did not answer, or has no fresh data. */
+export type BackoffReason = "silent" | "old";
 
-/** Peers that were of no use. */
+/** Back-off for each peer, by its address. */
 export interface PeerPenalties {
   isUsable(address: string): boolean;
-  note(address: string, kind: UselessKind): void;
+  note(address: string, kind: BackoffReason): void;
   clear(address: string): void;
 }
 
-interface Penalty {
+interface Backoff {
   duration: Millis;
   until: Millis;
 }
 
-/** The first penalty of a peer; each next one is twice as long, up to a limit. */
-const PENALTIES: Readonly<
-  Record<UselessKind, { first: Millis; longest: Millis }>
+/** The first back-off; each further one is twice as long, up to a limit. */
+const BACKOFF_LIMITS: Readonly<
+  Record<BackoffReason, { first: Millis; longest: Millis }>
 > = {
   silent: { first: 1_000, longest: 8_000 },
-  /** One that answers, with old news or none, is about to get younger itself. */
+  /** Short, as a peer with stale data or none is about to refresh it. */
   old: { first: 300, longest: 2_000 },
 };
 
-/** Creates penalties; every peer is usable at first. */
+/** Creates the back-off; every peer is usable at first. */
 export function createPeerPenalties(clock: Clock): PeerPenalties {
-  const penalties = new Map<string, Penalty>();
+  const backoffs = new Map<string, Backoff>();
 
   return {
     isUsable: (address) =>
-      (penalties.get(address)?.until ?? -Infinity) <= clock.now(),
+      (backoffs.get(address)?.until ?? -Infinity) <= clock.now(),
     note(address, kind) {
-      const { first, longest } = PENALTIES[kind];
-      const last = penalties.get(address)?.duration ?? 0;
+      const { first, longest } = BACKOFF_LIMITS[kind];
+      const last = backoffs.get(address)?.duration ?? 0;
       const duration = Math.min(longest, Math.max(first, 2 * last));
-      penalties.set(address, { duration, until: clock.now() + duration });
+      backoffs.set(address, { duration, until: clock.now() + duration });
     },
-    clear: (address) => void penalties.delete(address),
+    clear: (address) => void backoffs.delete(address),
   };
 }
--- a/packages/serving/src/quarantine_news.ts
+++ b/packages/serving/src/quarantine_news.ts
@@ -1,11 +1,12 @@
 /**
- * How entries agree on which contents are turned away.
+ * Shares between entries which request contents are quarantined.
  *
- * A few entries keep count for each content, so that ends which were seen at
- * different entries add up: told to one partner every half second, news would
- * take seconds, and one endpoint ends each second. What is found goes into the
- * platform's store, which tells all entries and those that start later; peers
- * pass it on too, as the store may be away.
+ * Each content has a few aggregators: entries to which all others report its
+ * crashes and completions, so that crashes seen at different entries add up.
+ * Gossip with one peer every half second would take seconds, while such a
+ * request crashes about one endpoint a second. A new quarantine is written to
+ * the platform's store, from which all entries read it, also those that start
+ * later. Peers gossip it too, as the store may be unavailable.
  *
  * @module
  */
@@ -32,7 +33,7 @@
   quarantine: PoisonQuarantine;
   store: QuarantineStore;
   membership: Pick<Membership, "self" | "list">;
-  /** Tells a peer of runs; its answer is undefined if it gave none. */
+  /** Reports runs to a peer; resolves with undefined if it did not answer. */
   report: (
     address: string,
     report: RunReport,
@@ -40,74 +41,78 @@
   signal: AbortSignal;
 }
 
-/** What one entry tells and takes. */
+/** Shares quarantines with peers and the store, for one entry. */
 export interface QuarantineNews {
+  /** Records a crash locally and reports it to the aggregators. */
   noteEnded(run: EndedRun): void;
+  /** Records a completed run; reports it if the content was suspected here. */
   noteCompleted(content: string): void;
-  /** Counts what a peer reports. */
+  /** Aggregates a peer's report; the reply lists contents quarantined by it. */
   answer(report: RunReport): RunReportReply;
-  /** Takes records of the store; those about something else are passed over. */
+  /** Applies records of the store; records about something else are ignored. */
   takeRecords(records: readonly KeyedRecord[]): void;
-  /** For the exchange with peers; undefined if there is nothing to tell. */
+  /** Returns the update to gossip; undefined if there is nothing to send. */
   readNews(): PoisonNews | undefined;
   takeNews(news: PoisonNews): void;
-  /** Writes again what a copy of the store may lack. */
+  /** Writes the records again that a restored store may lack. */
   publishAgain(): void;
-  /** Lets contents in again when their term is over; ends with the signal. */
+  /** Releases contents whose quarantine expired; ends with the signal. */
   watchTerms(): Promise<void>;
 }
 
-/** One that keeps count may be frozen, another be cut off or not yet known. */
-const COUNTERS = 3;
+/** One aggregator may be frozen, and another partitioned or not yet known. */
+const AGGREGATORS_PER_CONTENT = 3;
 /**
- * Runs at one endpoint end together; gathered for so long, an entry tells each
- * peer once. Whoever repeats at once reaches one endpoint more meanwhile.
+ * Batch window of reports. Runs at one endpoint end together, and an entry then
+ * sends each peer one report. A caller that resends at once may crash one more
+ * endpoint within the window.
  */
-const GATHERING: Millis = 20;
-/** Rows of a message to a peer. */
-const MAX_ROWS = 256;
-const MAX_NEWS = 8;
-/** Contents that were found within the last half minute, at most. */
-const MAX_REWRITTEN = 64;
-const STORE_RETRY: Millis = 500;
-/** A term is some minutes at least. */
-const TERM_CHECK: Millis = 30_000;
+const BATCH_WINDOW: Millis = 20;
+/** Maximum length of each list in a report to a peer. */
+const MAX_REPORT_ROWS = 256;
+const MAX_UPDATE_CONTENTS = 8;
+/** Maximum number of republished quarantines, those of the last 30 s. */
+const MAX_REPUBLISHED = 64;
+const STORE_RETRY_DELAY: Millis = 500;
+/** Quarantines last some minutes at least. */
+const EXPIRY_CHECK_INTERVAL: Millis = 30_000;
 
-interface Gathered {
+interface PendingReport {
   ended: EndedRun[];
   completed: string[];
 }
 
-/** Creates the news of one entry. */
+/** Creates the gossip of one entry. */
 export function createQuarantineNews(
   options: QuarantineNewsOptions,
 ): QuarantineNews {
   const { clock, random, log, quarantine, store, membership, signal } = options;
   /** By the control address of the peer. */
-  let gathered = new Map<string, Gathered>();
+  let pending = new Map<string, PendingReport>();
 
   function noteEnded(run: EndedRun): void {
     const { content, endedAgo } = run;
-    // Who keeps no count would not hear that it has completed elsewhere.
-    if (listCounters(content).some(isSelf)) {
-      takeFound(quarantine.noteEnded(run));
+    // Only aggregators count crashes: others do not learn that the content
+    // completed elsewhere.
+    if (listAggregators(content).some(isSelf)) {
+      handleQuarantined(quarantine.noteEnded(run));
     } else {
       quarantine.noteSuspected({ content, age: endedAgo });
     }
-    for (const { ended } of listGathered(run.content)) {
-      if (ended.length < MAX_ROWS) ended.push(run);
+    for (const { ended } of listPendingReports(run.content)) {
+      if (ended.length < MAX_REPORT_ROWS) ended.push(run);
     }
   }
 
   function noteCompleted(content: string): void {
-    if (!takeCompleted(content)) return;
-    for (const { completed } of listGathered(content)) {
-      if (completed.length < MAX_ROWS) completed.push(content);
+    if (!handleCompleted(content)) return;
+    for (const { completed } of listPendingReports(content)) {
+      if (completed.length < MAX_REPORT_ROWS) completed.push(content);
     }
   }
 
-  /** The entries that keep count for a content. */
-  function listCounters(content: string): PeerRecord[] {
+  /** Lists the aggregators of a content, this entry possibly among them. */
+  function listAggregators(content: string): PeerRecord[] {
     const others = membership.list()
       .filter(({ health, record }) =>
         health === "alive" && record.state !== "leaving"
@@ -116,36 +121,36 @@
     return listByRendezvous([membership.self, ...others], {
       key: content,
       readName: ({ entry }) => entry,
-    }).slice(0, COUNTERS);
+    }).slice(0, AGGREGATORS_PER_CONTENT);
   }
 
   function isSelf({ entry }: PeerRecord): boolean {
     return entry === membership.self.entry;
   }
 
-  /** What is to be told to the others that keep count for a content. */
-  function listGathered(content: string): Gathered[] {
-    return listCounters(content)
+  /** Lists the pending reports to the other aggregators of a content. */
+  function listPendingReports(content: string): PendingReport[] {
+    return listAggregators(content)
       .filter((record) => !isSelf(record))
-      .map(({ controlAddress }) => findGathered(controlAddress));
+      .map(({ controlAddress }) => findPendingReport(controlAddress));
   }
 
-  function findGathered(address: string): Gathered {
-    if (gathered.size === 0) clock.startTimer(GATHERING, sendGathered);
-    const present = gathered.get(address) ?? { ended: [], completed: [] };
-    gathered.set(address, present);
-    return present;
+  function findPendingReport(address: string): PendingReport {
+    if (pending.size === 0) clock.startTimer(BATCH_WINDOW, sendPendingReports);
+    const existing = pending.get(address) ?? { ended: [], completed: [] };
+    pending.set(address, existing);
+    return existing;
   }
 
-  function sendGathered(): void {
-    const reports = gathered;
-    gathered = new Map();
+  function sendPendingReports(): void {
+    const reports = pending;
+    pending = new Map();
     for (const [address, { ended, completed }] of reports) {
-      // It has been waiting here meanwhile.
+      // Adds the time that the run waited for the batch window.
       const aged = ended.map((run) => ({
         ...run,
-        sentAgo: run.sentAgo + GATHERING,
-        endedAgo: run.endedAgo + GATHERING,
+        sentAgo: run.sentAgo + BATCH_WINDOW,
+        endedAgo: run.endedAgo + BATCH_WINDOW,
       }));
       void sendReport(address, { ended: aged, completed });
     }
@@ -153,38 +158,41 @@
 
   async function sendReport(address: string, report: RunReport): Promise<void> {
     const reply = await options.report(address, report);
-    reply?.quarantined.forEach((found) => adopt(found, "peer"));
+    reply?.quarantined.forEach((found) => mergeQuarantined(found, "peer"));
   }
 
   function answer({ ended, completed }: RunReport): RunReportReply {
-    completed.forEach(takeCompleted);
+    completed.forEach(handleCompleted);
     return {
       quarantined: ended.flatMap((run) => {
         const found = quarantine.noteEnded(run);
-        takeFound(found);
+        handleQuarantined(found);
         return found === undefined ? [] : [found];
       }),
     };
   }
 
-  function takeFound(found: QuarantinedContent | undefined): void {
+  function handleQuarantined(found: QuarantinedContent | undefined): void {
     if (found === undefined) return;
     recordChange(found, "found");
     void writeStore(() => store.announce(found));
   }
 
   /** Returns whether it was suspected here. */
-  function takeCompleted(content: string): boolean {
-    const wasTurnedAway = quarantine.readTimeLeft(content) > 0;
+  function handleCompleted(content: string): boolean {
+    const wasQuarantined = quarantine.readTimeLeft(content) > 0;
     const wasSuspected = quarantine.noteCompleted(content);
-    if (wasTurnedAway) {
+    if (wasQuarantined) {
       log.record("quarantine_changed", { content, outcome: "completed" });
       void writeStore(() => store.withdraw(content));
     }
     return wasSuspected;
   }
 
-  function adopt(found: QuarantinedContent, source: "peer" | "store"): void {
+  function mergeQuarantined(
+    found: QuarantinedContent,
+    source: "peer" | "store",
+  ): void {
     if (quarantine.adopt(found)) recordChange(found, source);
   }
 
@@ -201,7 +209,7 @@
     });
   }
 
-  /** Until the store has taken it: what it does not hold ends with the process. */
+  /** Retries until written: only the store outlives this process. */
   async function writeStore(
     write: () => Promise<Result<null, string>>,
   ): Promise<void> {
@@ -212,7 +220,7 @@
         dependency: "quarantine",
         reason: written.error,
       });
-      await clock.sleep(STORE_RETRY * (0.5 + random()), signal);
+      await clock.sleep(STORE_RETRY_DELAY * (0.5 + random()), signal);
     }
   }
 
@@ -221,39 +229,42 @@
       const decoded = store.decode(record);
       if (decoded === undefined) continue;
       const { content, quarantined } = decoded;
-      if (quarantined !== undefined) adopt(quarantined, "store");
+      if (quarantined !== undefined) mergeQuarantined(quarantined, "store");
       else quarantine.release(content);
     }
   }
 
   function readNews(): PoisonNews | undefined {
     if (quarantine.isEmpty()) return undefined;
-    const quarantined = quarantine.chooseQuarantined(MAX_NEWS);
-    const suspected = quarantine.chooseSuspected(MAX_NEWS);
+    const quarantined = quarantine.chooseQuarantined(MAX_UPDATE_CONTENTS);
+    const suspected = quarantine.chooseSuspected(MAX_UPDATE_CONTENTS);
     const isEmpty = quarantined.length + suspected.length === 0;
     return isEmpty ? undefined : { quarantined, suspected };
   }
 
   function takeNews({ quarantined, suspected }: PoisonNews): void {
-    quarantined.forEach((found) => adopt(found, "peer"));
+    quarantined.forEach((found) => mergeQuarantined(found, "peer"));
     suspected.forEach(quarantine.noteSuspected);
   }
 
-  /** What was found before the last news has been in the store for long. */
+  /**
+   * Covers the quarantines that are still gossiped; older ones have been in the
+   * store for long, and thus in its copy.
+   */
   function publishAgain(): void {
-    for (const found of quarantine.chooseQuarantined(MAX_REWRITTEN)) {
-      const isCounter = listCounters(found.content).some(isSelf);
-      if (isCounter) void writeStore(() => store.announce(found));
+    for (const found of quarantine.chooseQuarantined(MAX_REPUBLISHED)) {
+      const isAggregator = listAggregators(found.content).some(isSelf);
+      if (isAggregator) void writeStore(() => store.announce(found));
     }
   }
 
   async function watchTerms(): Promise<void> {
     while (!signal.aborted) {
-      await clock.sleep(TERM_CHECK, signal);
+      await clock.sleep(EXPIRY_CHECK_INTERVAL, signal);
       for (const content of quarantine.releaseLapsed()) {
         log.record("quarantine_changed", { content, outcome: "lapsed" });
-        const isCounter = listCounters(content).some(isSelf);
-        if (isCounter) void writeStore(() => store.withdraw(content));
+        const isAggregator = listAggregators(content).some(isSelf);
+        if (isAggregator) void writeStore(() => store.withdraw(content));
       }
     }
   }
--- a/packages/serving/src/quarantine_store.ts
+++ b/packages/serving/src/quarantine_store.ts
@@ -1,6 +1,6 @@
 /**
- * Contents that are turned away, as the platform's store keeps them: no entry
- * remembers anything after its end, and all may end at once.
+ * Quarantined contents in the platform's store, where they outlive the entries:
+ * an entry loses its state when it stops, and all may stop at once.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 import type { Result } from "true-myth";
 import type { KeyedRecord } from "./serving_handles.ts";
 
-/** What a record of the store says. */
+/** A decoded record of the store. */
 export interface QuarantineRecord {
   content: string;
-  /** Undefined if it is let in again. */
+  /** Undefined if the content was released. */
   quarantined: QuarantinedContent | undefined;
 }
 
-/** The records of contents, in the same topic as those of entries. */
+/** Quarantine records in the store, in the topic of the entries' records. */
 export interface QuarantineStore {
   announce(quarantined: QuarantinedContent): Promise<Result<null, string>>;
   withdraw(content: string): Promise<Result<null, string>>;
--- a/packages/serving/src/run_watch.ts
+++ b/packages/serving/src/run_watch.ts
@@ -1,5 +1,6 @@
 /**
- * Watches for requests under which endpoints end, whichever id they come with.
+ * Detects requests that crash the endpoints which run them. Requests are
+ * recognised by their content, as callers may resend them under new ids.
  *
  * @module
  */
@@ -20,27 +21,27 @@
 import type { QuarantineNews } from "./quarantine_news.ts";
 import type { PassedRequest } from "./serving_handles.ts";
 
-/** A request as its client account sent it. */
+/** A request with the client account that sent it. */
 export interface WatchedRequest {
   request: PassedRequest;
   /** The client account; undefined where there are none. */
   account: string | undefined;
 }
 
-/** A run whose connection ended before the answer did. */
+/** A run whose connection ended before the answer was complete. */
 export interface BrokenRun extends WatchedRequest {
   endpoint: EndpointInfo;
   sentAt: Millis;
 }
 
-/** Watches the runs of one entry. */
+/** Tracks the runs of one entry. */
 export interface RunWatch {
-  /** Resolves when it is known what became of the endpoint. */
+  /** Resolves once the endpoint was checked and a crash was recorded. */
   noteBroken(run: BrokenRun): Promise<void>;
-  /** Takes ends of stage endpoints, as their feeder found them. */
+  /** Records crashes of stage endpoints that their dispatcher found. */
   noteStageEnds(watched: WatchedRequest, ends: readonly EndpointEnd[]): void;
   noteCompleted(watched: WatchedRequest): void;
-  /** The refusal of a request that is turned away; undefined if it is let in. */
+  /** Returns the refusal of a quarantined request; undefined if it may run. */
   findRefusal(watched: WatchedRequest): Failure | undefined;
 }
 
@@ -53,15 +54,15 @@
   news: Pick<QuarantineNews, "noteEnded" | "noteCompleted">;
 }
 
-/** Creates the watch of an entry that has run nothing yet. */
+/** Creates the detector of one entry. */
 export function createRunWatch(
   { clock, log, endpointCheck, quarantine, news }: RunWatchOptions,
 ): RunWatch {
   const digests = new WeakMap<PassedRequest, string>();
 
-  function findDigest({ request, account }: WatchedRequest): string {
-    const present = digests.get(request);
-    if (present !== undefined) return present;
+  function computeDigest({ request, account }: WatchedRequest): string {
+    const cached = digests.get(request);
+    if (cached !== undefined) return cached;
     const { method, host, target } = request.head;
     const { body } = request;
     const digest = computeContentDigest({
@@ -79,7 +80,7 @@
     const { request, account, endpoint, sentAt } = run;
     const endedAt = clock.now();
     const condition = await endpointCheck.checkCondition(endpoint);
-    const content = findDigest(run);
+    const content = computeDigest(run);
     log.record("run_broken", {
       request: request.head.id,
       content,
@@ -103,18 +104,18 @@
     watched: WatchedRequest,
     ends: readonly EndpointEnd[],
   ): void {
-    const content = findDigest(watched);
+    const content = computeDigest(watched);
     ends.forEach((end) => news.noteEnded({ content, ...end }));
   }
 
   function noteCompleted(watched: WatchedRequest): void {
     if (quarantine.isEmpty()) return;
-    news.noteCompleted(findDigest(watched));
+    news.noteCompleted(computeDigest(watched));
   }
 
   function findRefusal(watched: WatchedRequest): Failure | undefined {
     if (quarantine.isEmpty()) return undefined;
-    const retryAfterMs = quarantine.readTimeLeft(findDigest(watched));
+    const retryAfterMs = quarantine.readTimeLeft(computeDigest(watched));
     if (retryAfterMs === 0) return undefined;
     return createFailure("unavailable", {
       verdict: "not_run",
--- a/packages/serving/src/run_watch_test.ts
+++ b/packages/serving/src/run_watch_test.ts
@@ -38,7 +38,7 @@
   return { watch, quarantine, ended, completed };
 }
 
-describe("watching runs", () => {
+describe("crash detector", () => {
   async function noteBroken(condition: EndpointCondition) {
     const clock = createFakeClock(0);
     const { watch, ended } = createWatch(clock, condition);
@@ -53,7 +53,7 @@
     return ended;
   }
 
-  it("counts from the end itself, not from when that was known", async () => {
+  it("measures ages from the crash, not from its detection", async () => {
     const [run] = await noteBroken("ended");
     expect(run).to.include({
       endpointKey: "e1#1",
@@ -63,12 +63,12 @@
   });
 
   for (const condition of ["listening", "unknown"] as const) {
-    it(`holds nothing against a request whose endpoint is ${condition}`, async () => {
+    it(`records no crash if the endpoint is ${condition}`, async () => {
       expect(await noteBroken(condition)).to.deep.equal([]);
     });
   }
 
-  it("knows a content by path, account and body, not by its id", async () => {
+  it("identifies content by path, account and body, not by id", async () => {
     const clock = createFakeClock(0);
     const { watch, ended, quarantine } = createWatch(clock, "ended");
     const noted = watch.noteBroken({
@@ -100,7 +100,7 @@
     });
   });
 
-  it("does not look at contents while nothing is suspected", () => {
+  it("computes no digests while no content is suspected", () => {
     const { watch, completed } = createWatch(createFakeClock(0), "ended");
     watch.noteCompleted(createWatched());
     expect(completed).to.deep.equal([]);
