--- a/packages/serving/src/caller_listener.ts
+++ b/packages/serving/src/caller_listener.ts
@@ -1,6 +1,7 @@
 /**
- * Where callers connect: reads whole requests within their limits and hands
- * them to the service. Nothing reaches an endpoint before a request is whole.
+ * HTTP server for callers: buffers requests within the configured limits and
+ * passes them to the service. Nothing reaches an endpoint before a request is
+ * complete.
  *
  * @module
  */
@@ -14,14 +15,14 @@
 import type { CallerResponse, EncodeFailure } from "./caller_response.ts";
 import { createCallerResponse } from "./caller_response.ts";
 import type { RequestHead } from "./serving_handles.ts";
-import type { ServedRequest } from "./request_service.ts";
+import type { RequestContext } from "./request_service.ts";
 
-/** Whether callers are served. */
+/** Whether requests are served. */
 export type ListenerPhase =
   | "open"
-  /** Serves, and asks callers to connect elsewhere. */
+  /** Serves, and closes connections so that callers reconnect elsewhere. */
   | "leaving"
-  /** Refuses new requests and finishes what it has. */
+  /** Refuses new requests and completes those in progress. */
   | "refusing";
 
 /** Options of {@linkcode startCallerListener}. */
@@ -31,31 +32,31 @@
   tasks: TaskSet;
   decodeHead: (message: IncomingMessage) => Result<RequestHead, Failure>;
   encodeFailure: EncodeFailure;
-  serve: (served: ServedRequest) => Promise<void>;
+  serve: (context: RequestContext) => Promise<void>;
   readLimits: () => RequestLimits;
   readPhase: () => ListenerPhase;
-  /** Told of requests that were refused before they had a route. */
+  /** Called for requests that are refused before routing. */
   onRefused: (failure: Failure, id: string | undefined) => void;
 }
 
 /** A running listener. */
 export interface CallerListener {
   readonly server: Server;
-  /** Brings the server's own limits up to date. */
+  /** Updates the limits of the HTTP server itself. */
   applyLimits(limits: RequestLimits): void;
 }
 
 /** Node rejects longer heads itself, with status 431. */
 const MAX_HEADER_BYTES = 16_384;
 const MAX_CONNECTIONS = 3_000;
-/** A caller that comes back this soon finds another entry. */
+/** A caller that retries after this time reaches another entry. */
 const RETRY_AFTER_STOPPING: Millis = 50;
-/** The first ends the turn that read the request, the next has read again. */
+/** The first ends the turn that read the request; the second reads again. */
 const READ_TURNS = 2;
-/** A whole request may take this many times as long as its head. */
+/** Ratio of the time limits for a complete request and for its head. */
 const BODY_TIME_FACTOR = 4;
 
-/** Starts to listen. */
+/** Starts the listener. */
 export async function startCallerListener(
   options: CallerListenerOptions,
 ): Promise<CallerListener> {
@@ -63,17 +64,17 @@
 
   async function handle(
     message: IncomingMessage,
-    raw: ServerResponse,
+    serverResponse: ServerResponse,
   ): Promise<void> {
     const receivedAt = clock.now();
-    const response = createCallerResponse(raw, {
+    const response = createCallerResponse(serverResponse, {
       encodeFailure: options.encodeFailure,
       isClosing: () => readPhase() !== "open",
     });
     const head = options.decodeHead(message);
     const { maxBodyBytes } = readLimits();
     const body = await readBody(message, maxBodyBytes);
-    if (body.kind === "cut" || await isLeftBehind(message)) return;
+    if (body.kind === "cut" || await hasDisconnected(message)) return;
     const id = head.isOk ? head.value.id : undefined;
     if (body.kind === "too_large") {
       return refuse(response, failTooLarge(maxBodyBytes), id);
@@ -118,11 +119,11 @@
 }
 
 /**
- * Whether the caller has left already. A request that waited to be read, on an
- * instance short of processor, may have its caller's close behind it, so the
- * event loop reads once more first.
+ * Returns whether the caller has already disconnected. On an instance short of
+ * processor time a request may wait long to be read, with the caller's close
+ * right behind it, so the event loop reads from the sockets once more first.
  */
-async function isLeftBehind({ socket }: IncomingMessage): Promise<boolean> {
+async function hasDisconnected({ socket }: IncomingMessage): Promise<boolean> {
   for (let turn = 0; turn < READ_TURNS; turn++) await setImmediate();
   return socket.readableEnded || socket.destroyed;
 }
--- a/packages/serving/src/caller_listener_test.ts
+++ b/packages/serving/src/caller_listener_test.ts
@@ -14,12 +14,12 @@
 };
 const REQUEST = "POST /r/x HTTP/1.1\r\nhost: a.example\r\n" +
   "content-length: 1\r\n\r\nx";
-/** Long enough for whatever was read to be served. */
+/** Time within which all requests that were read are served. */
 const SETTLE_MS = 500;
 
-describe("listener of callers", () => {
-  /** Sends requests, each on a connection of its own; returns what was served. */
-  async function serve(requests: readonly { isLeft: boolean }[]) {
+describe("caller listener", () => {
+  /** Sends each request on its own connection; returns the number served. */
+  async function serve(requests: readonly { isDisconnected: boolean }[]) {
     let served = 0;
     const tasks = createTaskSet((error) => {
       throw error;
@@ -40,11 +40,11 @@
       onRefused: () => {},
     });
     const [host, port] = readServerAddress(server).split(":");
-    const sockets = requests.map(({ isLeft }) => {
+    const sockets = requests.map(({ isDisconnected }) => {
       const socket = connect(Number(port), host, () => {
         socket.write(REQUEST);
-        // Its close lies behind the request before anything of it is read.
-        if (isLeft) socket.destroy();
+        // The close follows the request before the server reads any of it.
+        if (isDisconnected) socket.destroy();
       });
       socket.on("error", () => {});
       return socket;
@@ -56,15 +56,21 @@
     return served;
   }
 
-  // An entry that is short of processor reads a request seconds after its caller
-  // has left, and would send it on before it reads the close behind it.
-  it("serves no request whose caller has left before it was read", async () => {
-    const left = Array.from({ length: 20 }, () => ({ isLeft: true }));
-    expect(await serve(left)).to.equal(0);
+  // An entry short of processor time may read a request seconds after its
+  // caller disconnected, and would forward it before it reads the close.
+  it("serves no request whose caller disconnected before the read", async () => {
+    const disconnected = Array.from(
+      { length: 20 },
+      () => ({ isDisconnected: true }),
+    );
+    expect(await serve(disconnected)).to.equal(0);
   });
 
-  it("serves the requests of callers that stay", async () => {
-    const staying = Array.from({ length: 20 }, () => ({ isLeft: false }));
+  it("serves the requests of callers that stay connected", async () => {
+    const staying = Array.from(
+      { length: 20 },
+      () => ({ isDisconnected: false }),
+    );
     expect(await serve(staying)).to.equal(20);
   });
 });
--- a/packages/serving/src/caller_response.ts
+++ b/packages/serving/src/caller_response.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to a caller: an endpoint's answer passed through unchanged, or a
- * failure of our own. Nothing is joined, added or completed.
+ * The response to a caller: an endpoint's answer forwarded unchanged, or a
+ * failure of this entry. Answers are never merged, extended or completed.
  *
  * @module
  */
@@ -8,34 +8,34 @@
 import type { Failure } from "@mangoreach/coordination";
 import type { HeaderList } from "./serving_handles.ts";
 
-/** How an answer ended. */
+/** How a response ended. */
 export type ResponseEnd = "complete" | "cut";
 
-/** The answer to one request; exactly one of its ways is taken. */
+/** The response to one request: complete, streamed or a refusal. */
 export interface CallerResponse {
   readonly isStarted: boolean;
-  /** Aborts when the caller goes away before the answer is complete. */
+  /** Aborts if the caller disconnects before the response is complete. */
   readonly gone: AbortSignal;
-  /** Sends a whole answer. */
+  /** Sends a response with its complete body. */
   sendWhole(answer: WholeAnswer): void;
-  /** Begins an answer that comes piece by piece. */
+  /** Sends the head of a streamed response. */
   startStream(head: Omit<WholeAnswer, "body">): void;
-  /** Passes on bytes; resolves when the caller can take more. */
+  /** Writes a chunk; resolves once the caller can receive more. */
   write(chunk: Buffer): Promise<void>;
-  /** Ends a stream; one that is cut must not look complete. */
+  /** Ends a stream; one that is cut closes the connection. */
   endStream(end: ResponseEnd): void;
-  /** Sends a failure of our own. */
+  /** Sends a failure of this entry. */
   refuse(failure: Failure): void;
 }
 
-/** A whole answer. */
+/** A response with its complete body. */
 export interface WholeAnswer {
   status: number;
   headers: HeaderList;
   body: Buffer;
 }
 
-/** How failures are told to callers: status and headers. */
+/** Encodes a failure as status and headers for callers. */
 export type EncodeFailure = (
   failure: Failure,
 ) => { status: number; headers: HeaderList };
@@ -47,7 +47,7 @@
   isClosing: () => boolean;
 }
 
-/** Wraps the response of Node's server. */
+/** Wraps a response of Node's HTTP server. */
 export function createCallerResponse(
   response: ServerResponse,
   { encodeFailure, isClosing }: CallerResponseOptions,
@@ -57,7 +57,8 @@
     if (!response.writableFinished) controller.abort("caller_gone");
   });
   response.on("error", () => controller.abort("caller_gone"));
-  // The endpoint's own date goes on; a second one would change its answer.
+  // The endpoint's Date header is forwarded; a second one would change the
+  // answer.
   response.sendDate = false;
 
   function writeHead(status: number, headers: HeaderList): void {
--- a/packages/serving/src/decision_log.ts
+++ b/packages/serving/src/decision_log.ts
@@ -1,14 +1,13 @@
 /**
- * One structured line for each decision that touches a request or changes what
- * this process believes. Bounded: above a rate, lines of one kind are left out
- * and counted, so that the worst burst costs no more than a bounded share of
- * the processor.
+ * Writes one structured log line for each decision about a request and each
+ * change of this process's state. Above a rate, lines of one kind are dropped
+ * and counted, which bounds the processor time that a burst costs.
  *
  * @module
  */
 import type { Clock, Logger, Millis } from "@mangoreach/shared";
 
-/** What is decided or believed. */
+/** The kind of a decision or state change. */
 export type DecisionKind =
   | "request_answered"
   | "request_refused"
@@ -35,7 +34,7 @@
   | "process_stopped"
   | "settings_reloaded";
 
-/** What decided, its age or version, and the outcome. */
+/** The inputs of a decision, their age or version, and the outcome. */
 export type DecisionFields = Readonly<
   Record<string, string | number | boolean | readonly string[] | undefined>
 >;
@@ -49,12 +48,12 @@
 export interface DecisionLogOptions {
   clock: Clock;
   logger: Logger;
-  /** Told how many lines of a kind were left out. */
+  /** Called for each dropped line. */
   onDropped: (kind: DecisionKind) => void;
 }
 
-/** Lines a second of one kind; a line costs about 20 microseconds. */
-const RATE = 100;
+/** Maximum lines per second of one kind; a line takes about 20 microseconds. */
+const MAX_LINES_PER_WINDOW = 100;
 const WINDOW: Millis = 1_000;
 
 /** Creates the log of one process. */
@@ -72,7 +71,7 @@
     }
     const count = (counts.get(kind) ?? 0) + 1;
     counts.set(kind, count);
-    if (count > RATE) return onDropped(kind);
+    if (count > MAX_LINES_PER_WINDOW) return onDropped(kind);
     logger.info(kind, formatNumbers(fields));
   }
 
--- a/packages/serving/src/decision_log_test.ts
+++ b/packages/serving/src/decision_log_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import { createDecisionLog } from "./decision_log.ts";
 
-describe("log of decisions", () => {
+describe("decision log", () => {
   function create() {
     const clock = createFakeClock(0);
     const lines: string[] = [];
@@ -21,7 +21,7 @@
     return { clock, lines, dropped, log };
   }
 
-  it("writes inputs and outcome, with short numbers", () => {
+  it("writes inputs and outcome, with rounded numbers", () => {
     const { lines, log } = create();
     log.record("attempt_ended", { request: "r", left: 12.3456, outcome: "x" });
     expect(lines)
@@ -30,9 +30,9 @@
       ]);
   });
 
-  // A burst of refusals: a line for each would take the processor away from the
-  // requests that can be served. What is left out is counted.
-  it("bounds the lines of one kind and counts the rest", async () => {
+  // In a burst of refusals, a line for each would take processor time from the
+  // requests that can be served. Dropped lines are counted.
+  it("limits the lines of one kind and counts the dropped ones", async () => {
     const { lines, dropped, log, clock } = create();
     for (let index = 0; index < 250; index++) {
       log.record("request_refused", {});
--- a/packages/serving/src/request_service.ts
+++ b/packages/serving/src/request_service.ts
@@ -1,6 +1,6 @@
 /**
- * The life of one request: admission, its stages, attempts at endpoints, and
- * the answer passed through.
+ * Serves one request: admits it, runs the stages of its route, and forwards it
+ * to an endpoint and the answer to the caller.
  *
  * @module
  */
@@ -25,33 +25,33 @@
 import type { StageResults } from "./stage_graph.ts";
 import { runStages } from "./stage_graph.ts";
 
-/** A request with the way to its caller. */
-export interface ServedRequest {
+/** A request with the response to its caller. */
+export interface RequestContext {
   request: PassedRequest;
   response: CallerResponse;
   /** When its head was read. */
   receivedAt: Millis;
 }
 
-/** What an engine needs at least after the stages, for a first event. */
+/** Minimum time of an engine after the stages until its first event. */
 const ENGINE_RESERVE: Millis = 150;
-/** What a stage takes besides its calls: the way to its feeder and back. */
+/** Time of a stage besides its calls, to its dispatcher and back. */
 const STAGE_OVERHEAD: Millis = 40;
 
-/** A queue that grew behind a request has emptied by then. */
-const RETRY_AFTER_STAGE: Millis = 300;
+/** A queue that grew while the request waited has emptied by then. */
+const RETRY_AFTER_STAGE_FAILURE: Millis = 300;
 
-/** Serves one request to its final answer. */
+/** Serves one request until its final answer. */
 export async function serveRequest(
   state: ServingState,
-  served: ServedRequest,
+  context: RequestContext,
 ): Promise<void> {
   const { clock } = state;
-  const { request, response, receivedAt } = served;
+  const { request, response, receivedAt } = context;
   const admitted = admitRequest(state, request.head);
   if (admitted.isErr) {
     response.refuse(admitted.error);
-    return recordEnd(state, served, { failure: admitted.error });
+    return recordOutcome(state, context, { failure: admitted.error });
   }
   const { route } = admitted.value;
   const elapsed = clock.now() - receivedAt;
@@ -59,12 +59,12 @@
     clock,
     budget: Math.min(request.head.budget, route.timeout) - elapsed,
   });
-  const onGone = () => deadline.cancel("caller_gone");
-  response.gone.addEventListener("abort", onGone, { once: true });
-  if (response.gone.aborted) onGone();
+  const onDisconnected = () => deadline.cancel("caller_gone");
+  response.gone.addEventListener("abort", onDisconnected, { once: true });
+  if (response.gone.aborted) onDisconnected();
   const onShutdown = () => deadline.cancel("shutdown");
   state.shutdown.addEventListener("abort", onShutdown, { once: true });
-  const outcome = await runAdmitted(state, served, {
+  const outcome = await runAdmittedRequest(state, context, {
     admitted: admitted.value,
     deadline,
   });
@@ -73,34 +73,37 @@
   if (outcome.failure !== undefined && !response.isStarted) {
     response.refuse(outcome.failure);
   }
-  recordEnd(state, served, { admitted: admitted.value, ...outcome });
+  recordOutcome(state, context, { admitted: admitted.value, ...outcome });
 }
 
-interface AdmittedWork {
+interface AdmittedRequest {
   admitted: AdmittedRoute;
   deadline: Deadline;
 }
 
-async function runAdmitted(
+async function runAdmittedRequest(
   state: ServingState,
-  served: ServedRequest,
-  { admitted, deadline }: AdmittedWork,
+  context: RequestContext,
+  { admitted, deadline }: AdmittedRequest,
 ): Promise<AttemptOutcome> {
-  const { request, response } = served;
+  const { request, response } = context;
   const { account } = admitted;
   const refusal = state.runWatch.findRefusal({ request, account });
   if (refusal !== undefined) return { failure: refusal, attempts: 0 };
   state.findBudget(admitted.pool).deposit();
   let results: StageResults | undefined;
   if (admitted.route.stages.length > 0) {
-    const made = await runStagesFirst(state, served, { admitted, deadline });
-    if (made.isErr) {
+    const stageResults = await runRouteStages(state, context, {
+      admitted,
+      deadline,
+    });
+    if (stageResults.isErr) {
       return {
-        failure: explainStageFailure(made.error, deadline),
+        failure: explainStageFailure(stageResults.error, deadline),
         attempts: 0,
       };
     }
-    results = made.value;
+    results = stageResults.value;
   }
   const outcome = await runAttempts(state, {
     request,
@@ -113,29 +116,33 @@
   return outcome;
 }
 
-/** Runs the stages near the engine that will probably serve the request. */
-async function runStagesFirst(
+/** Runs the stages, if possible in the same place as the likely engine. */
+async function runRouteStages(
   state: ServingState,
-  { request, receivedAt }: ServedRequest,
-  { admitted, deadline }: AdmittedWork,
+  { request, receivedAt }: RequestContext,
+  { admitted, deadline }: AdmittedRequest,
 ): Promise<Result<StageResults, Failure>> {
   const { clock, log, router, random, callerElapsed, runWatch } = state;
   const { route, table, rank, account } = admitted;
-  const size = sumTokens(request.head.promptParts);
-  // What has just enough time left misses at the next small delay: in a burst
-  // all would be served a little late. So the usual delay is reckoned with.
+  const promptTokens = sumTokens(request.head.promptParts);
+  // With just enough time left, a request misses its objective at the smallest
+  // delay, and in a burst all would be slightly late. So the reserve includes
+  // the usual delay of the pool.
   const reserve = Math.max(
     ENGINE_RESERVE,
-    state.findDelays(admitted.pool).estimateUsual(size),
+    state.findDelays(admitted.pool).estimateUsual(promptTokens),
   );
   const elapsed = callerElapsed.read(route.name, request.head.budget);
-  const onTimeAt = receivedAt - elapsed + route.objective - reserve;
-  const dueAt = deadline.at - ENGINE_RESERVE;
+  const objectiveAt = receivedAt - elapsed + route.objective - reserve;
+  const deadlineAt = deadline.at - ENGINE_RESERVE;
   const durations = route.stages.map(({ pool }, number) =>
-    estimateStage(table.findPool(pool), request.head.pieceCounts[number] ?? 0)
+    estimateStageTime(
+      table.findPool(pool),
+      request.head.pieceCounts[number] ?? 0,
+    )
   );
-  // With nobody to run it, its stages would be made for nothing and its caller
-  // would wait for a refusal.
+  // If no endpoint accepts the request by the time its stages end, running them
+  // would be wasted, and the caller would wait just to be refused.
   const stageTime = Math.max(0, ...durations);
   if (readShortestWait(state, admitted.pool) > stageTime) {
     return Result.err(createFailure("unavailable", {
@@ -145,15 +152,15 @@
     }));
   }
   const place = chooseEndpoint(state, { request, admitted, avoid: [] })?.place;
-  const hopeless = await findHopeless({
+  const infeasible = await findHopeless({
     stages: route.stages,
     durations,
     readWaits: (pool) => router.readWaits({ pool, priority: rank, place }),
-    onTime: onTimeAt - clock.now(),
-    remaining: dueAt - clock.now(),
+    onTime: objectiveAt - clock.now(),
+    remaining: deadlineAt - clock.now(),
     random,
   });
-  if (hopeless !== undefined) return Result.err(hopeless);
+  if (infeasible !== undefined) return Result.err(infeasible);
   return runStages({
     clock,
     random,
@@ -162,8 +169,8 @@
     route,
     head: request.head,
     rank,
-    onTimeAt,
-    dueAt,
+    onTimeAt: objectiveAt,
+    dueAt: deadlineAt,
     durations,
     readLifetime: (pool) =>
       table.findPool(pool)?.batching?.resultLifetime ?? Infinity,
@@ -174,18 +181,18 @@
   });
 }
 
-/** Fewest calls that the pieces fit in, one after the other. */
-function estimateStage(pool: PoolSpec | undefined, pieces: number): Millis {
+/** Estimates a stage's time with as few calls as possible, run in sequence. */
+function estimateStageTime(pool: PoolSpec | undefined, pieces: number): Millis {
   if (pool?.batching === undefined || pieces === 0) return 0;
   const { callTime, pieceTime, maxPieces } = pool.batching;
   return STAGE_OVERHEAD + Math.ceil(pieces / maxPieces) * callTime +
     pieces * pieceTime;
 }
 
-/** A stage that failed for the deadline or the caller is told as that. */
+/** Reports a stage failure after the deadline as `deadline_exceeded`. */
 function explainStageFailure(failure: Failure, deadline: Deadline): Failure {
   if (!deadline.hasPassed()) {
-    return { retryAfterMs: RETRY_AFTER_STAGE, ...failure };
+    return { retryAfterMs: RETRY_AFTER_STAGE_FAILURE, ...failure };
   }
   return createFailure("deadline_exceeded", {
     verdict: "not_run",
@@ -193,9 +200,9 @@
   });
 }
 
-function recordEnd(
+function recordOutcome(
   { clock, log, metrics, configAge, readTable, membership }: ServingState,
-  { request, receivedAt, response }: ServedRequest,
+  { request, receivedAt, response }: RequestContext,
   { admitted, failure, attempts, status, endpoint, end }:
     & Partial<AttemptOutcome>
     & { admitted?: AdmittedRoute },
--- a/packages/serving/src/request_service_test.ts
+++ b/packages/serving/src/request_service_test.ts
@@ -12,7 +12,7 @@
 } from "./test_support.ts";
 
 describe("serving a request", () => {
-  /** A request that waits for its stage, or for its endpoint. */
+  /** Serves a request that waits for its stage or for its endpoint. */
   function serve(
     place: "stage" | "endpoint",
     { endpoints = ["e1"] }: { endpoints?: readonly string[] } = {},
@@ -67,9 +67,9 @@
     return { seen, task, shutdown };
   }
 
-  // An entry is told to stop and has little processor time. What still waits when
-  // its time is over must not end with a closed connection: its caller would not
-  // know whether it ran, and what may run once only could not come back.
+  // A stopping entry may be short of processor time. Requests that still wait
+  // when it must exit need an answer rather than a closed connection: without a
+  // verdict the caller can't retry a request that must not run twice.
   const CASES = [
     { place: "stage", answer: "not_run" },
     { place: "endpoint", answer: "may_have_run" },
@@ -85,9 +85,9 @@
     });
   }
 
-  // All places with engines are evacuated. A request whose stages are made first
-  // would be refused a second later, with its callers' time gone.
-  it("refuses at once what has stages and nobody to run it", async () => {
+  // All places with engines are evacuated. If the stages ran first, the request
+  // would be refused a second later, and the caller would have lost that time.
+  it("refuses at once before the stages if no endpoint is usable", async () => {
     const { seen, task } = serve("stage", { endpoints: [] });
     await settlePromises();
     expect(seen).to.deep.equal(["not_run"]);
--- a/packages/serving/src/serving_handles.ts
+++ b/packages/serving/src/serving_handles.ts
@@ -1,6 +1,6 @@
 /**
- * What serving needs from the outside: endpoints, stage endpoints and a keyed
- * topic. Whoever starts an entry passes in implementations for its platform.
+ * Interfaces that a platform implements: calls to endpoints and to stage
+ * endpoints, and reads from compacted topics.
  *
  * @module
  */
@@ -15,30 +15,30 @@
 import type { HttpFault, Millis } from "@mangoreach/shared";
 import type { Result } from "true-myth";
 
-/** Header names and values as they came, in order. */
+/** Header names and values, unchanged and in the order received. */
 export type HeaderList = readonly (readonly [name: string, value: string])[];
 
 /** The decoded head of a caller's request. */
 export interface RequestHead {
-  /** The caller's id of this attempt. */
+  /** The id that the caller gave to this attempt. */
   id: string;
   method: string;
   /** Path and query, unchanged. */
   target: string;
   host: string;
-  /** Time that the caller waits. */
+  /** How long the caller waits for the answer. */
   budget: Millis;
-  /** The key of a client account. */
+  /** The API key of a client account, if the request has one. */
   key: string | undefined;
   promptParts: readonly PromptPart[];
-  /** Pieces of each stage, by its number. */
+  /** The number of pieces for each stage, in the order of the stages. */
   pieceCounts: readonly number[];
   pieceKey: string | undefined;
-  /** Headers that go on to the endpoint unchanged. */
+  /** Headers that are forwarded to the endpoint unchanged. */
   passedHeaders: HeaderList;
 }
 
-/** A whole request of a caller. */
+/** A complete request of a caller, as it is forwarded to endpoints. */
 export interface PassedRequest {
   head: RequestHead;
   body: Buffer;
@@ -48,128 +48,128 @@
 export interface EndpointCall {
   endpoint: EndpointInfo;
   request: PassedRequest;
-  /** Time left until nobody waits for the answer. */
+  /** Time left until the deadline. */
   remaining: Millis;
-  /** The name of the client account, if there are accounts. */
+  /** The name of the client account; undefined on routes without accounts. */
   account: string | undefined;
   /** 0 is the highest. */
   priority: number;
-  /** Results of the last stages; undefined where the route has no stages. */
+  /** Results of the last stages; undefined if the route has no stages. */
   inputs: readonly string[] | undefined;
   signal: AbortSignal;
 }
 
-/** Why an endpoint did not run a request, by its own word. */
+/** Why an endpoint did not run a request, as it reported. */
 export type NotRunReason = "full" | "other_instance" | "input_gone" | "refused";
 
-/** What an endpoint answered. */
+/** The answer of an endpoint. */
 export type EndpointAnswer =
-  /** Its word that the request did not run there. */
+  /** The endpoint reports that it did not run the request. */
   | (
     & { kind: "not_run"; reason: NotRunReason; load: LoadReport | undefined }
     & Signalled
   )
-  /** Not an answer to this request; it may have run. */
+  /** Not a valid answer to this request, which may have run. */
   | ({ kind: "invalid"; reason: string } & Signalled)
   | EndpointReply;
 
-/** An answer that may carry an endpoint's signals. */
+/** An answer that may carry an endpoint's back-pressure signals. */
 export interface Signalled {
-  /** Missing where the answer says nothing of them, one way or the other. */
+  /** Missing if the answer neither sets nor clears signals. */
   signals?: EndpointSignals;
 }
 
-/** An answer to be passed through. */
+/** A response to forward to the caller. */
 export interface EndpointReply extends Signalled {
   kind: "reply";
   status: number;
-  /** Headers that go on to the caller unchanged. */
+  /** Headers that are forwarded to the caller unchanged. */
   headers: HeaderList;
   body: Readable;
   load: LoadReport | undefined;
 }
 
-/** Sends a request to an endpoint; resolves when the head of its answer is in. */
+/** Sends a request to an endpoint; resolves with the head of its answer. */
 export type CallEndpoint = (
   call: EndpointCall,
 ) => Promise<Result<EndpointAnswer, HttpFault>>;
 
-/** One piece in a call, with the request it belongs to. */
+/** One piece in a stage call, with the request it belongs to. */
 export interface CalledPiece extends PieceOrder {
   requestId: string;
-  /** Milliseconds after which its result is of no use. */
+  /** Time after which its result is no longer needed. */
   remaining: Millis;
 }
 
-/** One call of stage work. */
+/** One call to a stage endpoint. */
 export interface StageCall {
   endpoint: EndpointInfo;
   pieces: readonly CalledPiece[];
-  /** After this time without an answer the call is given up. */
+  /** The call is abandoned without an answer after this time. */
   timeout: Millis;
 }
 
-/** What a stage endpoint says of one piece. */
+/** The outcome of one piece, as a stage endpoint reports it. */
 export type StageResult =
   | { kind: "done"; result: string }
   | { kind: "failed"; reason: "late" | "input_gone" | "no_room" | "error" };
 
-/** What became of a stage call. */
+/** The answer to a stage call. */
 export type StageReply =
   & (
     | { kind: "results"; results: readonly StageResult[] }
-    /** Its word that nothing ran. */
+    /** The endpoint reports that it ran none of the pieces. */
     | { kind: "not_run"; reason: NotRunReason }
     | { kind: "invalid"; reason: string }
   )
   & Signalled;
 
-/** Speaks to stage endpoints. */
+/** Client of stage endpoints. */
 export interface StageEndpoints {
   run(call: StageCall): Promise<Result<StageReply, HttpFault>>;
-  /** Frees results at their maker; of its answer only the signals matter. */
+  /** Frees results at their producer; only the answer's signals are used. */
   release(
     address: string,
     results: readonly string[],
   ): Promise<Signalled>;
-  /** The address of the endpoint that holds a result. */
+  /** Returns the address of the endpoint that stores a result. */
   readMaker(result: string): string;
 }
 
-/** One key of a keyed topic; without a value it was dropped. */
+/** A record of a compacted topic; without a value the key was deleted. */
 export interface KeyedRecord {
   key: string;
   value: string | undefined;
 }
 
-/** A record as it was read. */
-export interface ReadRecord extends KeyedRecord {
-  /** The store's offset; missing where the records follow each other. */
+/** A record with its position in the topic. */
+export interface PositionedRecord extends KeyedRecord {
+  /** The store's offset; missing if the records are consecutive. */
   offset?: number | undefined;
 }
 
-/** Where a keyed topic is read on. */
+/** A position in a topic, from which it is read further. */
 export interface TopicPosition {
   /**
-   * Rises when the store comes back from an older copy of itself. Offsets are
-   * given out again then, so those of two eras cannot be compared.
+   * Incremented when the store is restored from an older copy. Offsets are then
+   * assigned again, so those of different eras can't be compared.
    */
   era: number;
   offset: number;
 }
 
-/** A reading of a keyed topic. */
+/** The result of a read from a compacted topic. */
 export interface KeyedReading {
-  records: readonly ReadRecord[];
-  /** Where to read on. */
+  records: readonly PositionedRecord[];
+  /** The position of the next read. */
   next: TopicPosition;
-  /** It holds the newest record of every key, not the changes asked for. */
+  /** A snapshot with the newest record of every key, instead of changes. */
   isNewest?: boolean;
-  /** It comes from another entry, which gathers changes. */
+  /** Relayed by another entry, which batches changes. */
   isRelayed?: boolean;
   /**
-   * How old it was when it was asked for; negative if the store confirmed it
-   * later, 0 if it is missing.
+   * Age of the data at the time of the request; negative if the store confirmed
+   * it later, 0 if missing.
    */
   age?: Millis;
 }
@@ -177,17 +177,17 @@
 /** Why a topic could not be read. */
 export type KeyedFault =
   /**
-   * The records from this offset on are gone, or it is of an earlier era: read
-   * the newest again.
+   * The records from this offset on are no longer available, or the position is
+   * of an earlier era: read a snapshot.
    */
   | "expired"
   | "unavailable";
 
-/** Reads a topic whose newest record of each key is kept. */
+/** Reads a compacted topic, which keeps the newest record of each key. */
 export interface KeyedSource {
-  /** The newest record of every key. */
+  /** Reads a snapshot: the newest record of every key. */
   readNewest(): Promise<Result<KeyedReading, KeyedFault>>;
-  /** Records from there on; waits up to `wait` for the first. */
+  /** Reads records from a position; waits up to `wait` for the first one. */
   readFrom(
     position: TopicPosition,
     wait: Millis,
--- a/packages/serving/src/serving_metrics.ts
+++ b/packages/serving/src/serving_metrics.ts
@@ -1,12 +1,12 @@
 /**
- * Counters and latency histograms of an entry that passes routes through.
+ * Prometheus metrics of an entry.
  *
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Where an entry counts. */
+/** Metrics of one entry. */
 export interface ServingMetrics {
   readonly registry: Registry;
   countRequest(route: string, outcome: string): void;
@@ -22,7 +22,7 @@
 }
 
 const MILLIS_PER_SECOND = 1_000;
-/** Seconds; from a plain service's answer to the longest stream. */
+/** In seconds, from the answer of a plain service to the longest stream. */
 const LATENCY_BUCKETS = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
 /** Creates the metrics of one entry. */
--- a/packages/serving/src/serving_options.ts
+++ b/packages/serving/src/serving_options.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry is started with: its settings, and the platform as it sees it.
+ * Options of an entry: its settings and the platform that it runs on.
  *
  * @module
  */
@@ -28,41 +28,41 @@
   StageEndpoints,
 } from "./serving_handles.ts";
 
-/** What an entry is told when it starts. */
+/** Settings of one entry. */
 export interface ServingSettings {
   /** The name of this entry. */
   entry: string;
   place: string;
-  /** Processor time that it may use, in cores. */
+  /** Available processor time, in cores. */
   capacity: number;
   callers: ListenAddress;
   control: ListenAddress;
-  /** Control addresses of entries to begin with; some may be dead. */
+  /** Control addresses of entries to contact first; some may be dead. */
   seeds: readonly string[];
-  /** Knowledge older than this serves no client account. */
+  /** Client accounts are not served by a configuration older than this. */
   maxKeyAge: Millis;
   /** Time from the signal to stop until the process is killed. */
   stopTime: Millis;
-  /** Repeats that a pool may get beyond the share, over all entries. */
+  /** Retries per pool above the share, over all entries. */
   repeatSlack: number;
-  /** Repeats for each first request. */
+  /** Retries allowed for each first attempt. */
   repeatShare: number;
 }
 
-/** The platform as an entry sees it. */
+/** The platform that an entry runs on. */
 export interface ServingPlatform {
   configSource: KeyedSource;
-  /** The key of the configuration in its topic. */
+  /** The key of the configuration's record in its topic. */
   configKey: string;
   decodeConfig: (value: string) => Result<ServingConfig, string>;
-  /** The place whose evacuation a key of the same topic marks, if it does. */
+  /** Returns the place if a key of the same topic marks its evacuation. */
   readEvacuatedPlace: (key: string) => string | undefined;
   endpointSource: KeyedSource;
   decodeEndpoint: (record: KeyedRecord) => Result<EndpointInfo, string>;
   members: MemberStore;
   quarantine: QuarantineStore;
   callEndpoint: CallEndpoint;
-  /** Whether anything listens at an endpoint's address. */
+  /** Probes whether a process listens at an endpoint's address. */
   checkListening: (address: string) => Promise<Listening>;
   stages: StageEndpoints;
   decodeHead: (message: IncomingMessage) => Result<RequestHead, Failure>;
@@ -74,10 +74,10 @@
   settings: ServingSettings;
   platform: ServingPlatform;
   clock: Clock;
-  /** The time of day; counts on while a process is suspended. */
+  /** Returns the time of day, which advances while the process is suspended. */
   readWallTime: () => Millis;
   logger: Logger;
   random: () => number;
-  /** Changes with every start of the process. */
+  /** Differs for every start of the process. */
   incarnation: string;
 }
--- a/packages/serving/src/serving_state.ts
+++ b/packages/serving/src/serving_state.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry that passes routes through knows, and the parts that decide.
+ * The state and components of an entry that serving a request uses.
  *
  * @module
  */
@@ -24,37 +24,37 @@
 import type { CallEndpoint } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 
-/** What serving a request needs. */
+/** State and components for serving requests. */
 export interface ServingState {
   clock: Clock;
   random: () => number;
   log: DecisionLog;
   metrics: ServingMetrics;
-  /** The configuration in force; undefined before the first. */
+  /** Returns the configuration in force; undefined before the first one. */
   readTable: () => RouteTable | undefined;
   configAge: KnowledgeAge;
-  /** Whether peers have a newer configuration than the store holds. */
+  /** Whether peers have a newer configuration than the store. */
   isBehindPeers: () => boolean;
-  /** Knowledge older than this serves no client account. */
+  /** Client accounts are not served by a configuration older than this. */
   maxKeyAge: Millis;
   membership: Membership;
   directory: EndpointDirectory;
   loads: EndpointLoads;
   sendAllowance: SendAllowance;
-  /** Takes what an endpoint's answer says of the work that it takes. */
+  /** Handles the back-pressure signals of an endpoint's answer. */
   noteSignals: NoteSignals;
-  /** Notes that nothing listened at an endpoint's address. */
+  /** Records that nothing listened at an endpoint's address. */
   noteUnreachable: (endpoint: EndpointInfo) => void;
   router: PieceRouter;
   callEndpoint: CallEndpoint;
   runWatch: RunWatch;
-  /** The address of the endpoint that holds a result. */
+  /** Returns the address of the endpoint that stores a result. */
   readMaker: (result: string) => string;
-  /** The place of the endpoint at an address. */
+  /** Returns the place of the endpoint at an address, if it is known. */
   findPlace: (address: string) => string | undefined;
   findBudget: (pool: string) => RetryBudget;
   callerElapsed: CallerElapsed;
-  /** Aborts shortly before this process ends: every caller gets an answer. */
+  /** Aborts shortly before the process exits: every caller gets an answer. */
   shutdown: AbortSignal;
   findDelays: (pool: string) => DelayModel;
   findEngineChoice: (pool: string) => EngineChoice;
