--- a/packages/serving/src/caller_listener_test.ts
+++ b/packages/serving/src/caller_listener_test.ts
@@ -58,7 +58,7 @@
 
   // An entry short of processor time may read a request seconds after its
   // caller disconnected, and would forward it before it reads the close.
-  it("serves no request whose caller disconnected before the read", async () => {
+  it("serves no request of a caller that has disconnected", async () => {
     const disconnected = Array.from(
       { length: 20 },
       () => ({ isDisconnected: true }),
--- a/packages/serving/src/leaving_endpoint_test.ts
+++ b/packages/serving/src/leaving_endpoint_test.ts
@@ -4,28 +4,29 @@
 import { createSignals, runSignallingFleet } from "./signalling_fleet.ts";
 
 const SECOND: Millis = 1_000;
-/** What a caller sends later than this after the word goes elsewhere. */
-const DRAIN = 2 * SECOND;
+/** Requests sent later than this after the report must go elsewhere. */
+const DRAIN_TIME = 2 * SECOND;
 const LEAVES_AT = 5 * SECOND;
 const duration = 25 * SECOND;
 
-/** Requests that reached an endpoint too long after it had told their entry. */
+/** Counts requests sent too long after the endpoint notified their entry. */
 function countLate(arrivals: readonly FleetArrival[]): number {
   return arrivals.filter(({ sentAt, told }) => {
-    const word = told.find(({ isLeaving }) => isLeaving);
-    return word !== undefined && sentAt > word.at + DRAIN;
+    const report = told.find(({ isLeaving }) => isLeaving);
+    return report !== undefined && sentAt > report.at + DRAIN_TIME;
   }).length;
 }
 
-describe("an endpoint that says it is leaving", () => {
+describe("an endpoint that reports that it is leaving", () => {
   const LOADS: Record<string, Omit<FleetLoad, "duration" | "readSignals">> = {
     "one of 8 at 8 entries": { entries: 8, endpoints: 8, perSecond: 20 },
     "one of 6 at 195 entries": { entries: 195, endpoints: 6, perSecond: 66 },
   };
 
-  // The store is away and calls it live; its own word was not read, or was
-  // forgotten after some seconds, and its last requests are cut off.
-  it("gets nothing more while the store calls it live", async () => {
+  // The store is unavailable, and its last record shows the endpoint as live.
+  // If entries ignore the endpoint's own report, or drop it after some seconds,
+  // the last requests that they send are cut off.
+  it("gets no more requests while the store shows it as live", async () => {
     const late: Record<string, number> = {};
     for (const [name, load] of Object.entries(LOADS)) {
       const { arrivals } = await runSignallingFleet({
--- a/packages/serving/src/limited_endpoint_test.ts
+++ b/packages/serving/src/limited_endpoint_test.ts
@@ -4,40 +4,40 @@
 import { createSignals, runSignallingFleet } from "./signalling_fleet.ts";
 
 const SECOND: Millis = 1_000;
-/** The span of which an endpoint counts its requests. */
-const SPAN = 4 * SECOND;
-/** From naming a limit until it must be kept. */
-const SETTLE = 3 * SECOND;
-/** An entry that was told this long ago keeps the limit. */
-const TOLD_BEFORE = 500;
+/** The window over which an endpoint counts its requests. */
+const WINDOW = 4 * SECOND;
+/** Time from reporting a limit until it must be kept. */
+const SETTLE_TIME = 3 * SECOND;
+/** An entry that received the limit this long ago must keep it. */
+const GRACE_PERIOD = 500;
 
-/** Requests within the span that an endpoint bears. */
+/** Returns how many requests an endpoint tolerates within the window. */
 function computeAllowed(limit: number): number {
-  return 1.5 * limit * SPAN / SECOND + 5;
+  return 1.5 * limit * WINDOW / SECOND + 5;
 }
 
-/** The most that one endpoint got within the span from entries it had told. */
+/** Counts the most requests of notified entries at one endpoint in a window. */
 function countMost(
   arrivals: readonly FleetArrival[],
   { from, until }: { from: Millis; until: Millis },
 ): number {
   const counted = arrivals.filter(({ at, told }) =>
-    at >= from && at < until && (told[0]?.at ?? Infinity) + TOLD_BEFORE <= at
+    at >= from && at < until && (told[0]?.at ?? Infinity) + GRACE_PERIOD <= at
   );
   return Math.max(
     0,
     ...counted.map((first) =>
       counted.filter(({ endpoint, at }) =>
-        endpoint === first.endpoint && at >= first.at && at < first.at + SPAN
+        endpoint === first.endpoint && at >= first.at && at < first.at + WINDOW
       ).length
     ),
   );
 }
 
-describe("an endpoint that names a limit", () => {
-  const NAMED_AT = 5 * SECOND;
-  const LIFTED_AT = 25 * SECOND;
-  const NAMED = { from: NAMED_AT, until: LIFTED_AT };
+describe("an endpoint that reports a rate limit", () => {
+  const LIMITED_FROM = 5 * SECOND;
+  const LIMITED_UNTIL = 25 * SECOND;
+  const LIMITED_PERIOD = { from: LIMITED_FROM, until: LIMITED_UNTIL };
   const duration = 40 * SECOND;
 
   interface Case {
@@ -85,7 +85,7 @@
       load: { entries: 195, endpoints: 60, perSecond: 190 },
     },
     {
-      name: "6 endpoints at 195 entries that each lack a fifth of the others",
+      name: "6 endpoints at 195 entries that each miss a fifth of the others",
       limit: 1,
       limited: 6,
       load: {
@@ -100,54 +100,57 @@
     },
   ];
 
-  async function judgeCase({ limit, limited, load }: Case): Promise<string> {
+  async function checkCase({ limit, limited, load }: Case): Promise<string> {
     const { arrivals } = await runSignallingFleet({
       ...load,
       duration,
-      readSignals: createSignals({ ...NAMED, count: limited }, {
+      readSignals: createSignals({ ...LIMITED_PERIOD, count: limited }, {
         rateLimit: limit,
       }),
     });
     const most = countMost(arrivals, {
-      from: NAMED_AT + SETTLE,
-      until: LIFTED_AT,
+      from: LIMITED_FROM + SETTLE_TIME,
+      until: LIMITED_UNTIL,
     });
     const allowed = computeAllowed(limit);
     return most <= allowed ? "kept" : `${most} requests, allowed ${allowed}`;
   }
 
-  // Each entry sends what it would send without the limit, or keeps to it by
-  // itself: the sum of all is many times what the endpoint takes.
-  it("gets no more from all entries together", async () => {
+  // If each entry ignores the limit, or keeps to it only on its own, all
+  // entries together send many times what the endpoint accepts.
+  it("gets no more than that from all entries together", async () => {
     const found: Record<string, string> = {};
-    for (const one of CASES) found[one.name] = await judgeCase(one);
+    for (const one of CASES) found[one.name] = await checkCase(one);
     expect(found).to.deep.equal(
       Object.fromEntries(CASES.map(({ name }) => [name, "kept"])),
     );
   }).timeout(60_000);
 
-  // An entry that sends nothing hears nothing; the limit would stand for ever.
-  it("gets its share again soon after it names none", async () => {
+  // An entry that sends no requests receives no reports, and would keep to the
+  // limit for ever.
+  it("gets its share again soon after the limit is lifted", async () => {
     const { arrivals } = await runSignallingFleet({
       entries: 195,
       endpoints: 6,
       perSecond: 66,
       duration,
-      readSignals: createSignals({ ...NAMED, count: 6 }, { rateLimit: 1 }),
+      readSignals: createSignals({ ...LIMITED_PERIOD, count: 6 }, {
+        rateLimit: 1,
+      }),
     });
-    const late = arrivals.filter(({ at }) => at >= LIFTED_AT + 5 * SECOND);
+    const late = arrivals.filter(({ at }) => at >= LIMITED_UNTIL + 5 * SECOND);
     const perSecond = late.length * SECOND /
-      (duration - LIFTED_AT - 5 * SECOND);
+      (duration - LIMITED_UNTIL - 5 * SECOND);
     expect(perSecond).to.be.at.least(0.95 * 66);
   });
 
-  it("lets requests that it cannot take be refused at once", async () => {
+  it("causes requests above the limit to be refused at once", async () => {
     const { refusals, sent, served } = await runSignallingFleet({
       entries: 8,
       endpoints: 4,
       perSecond: 12,
       duration,
-      readSignals: createSignals({ count: 4, from: NAMED_AT }, {
+      readSignals: createSignals({ count: 4, from: LIMITED_FROM }, {
         rateLimit: 1,
       }),
     });
--- a/packages/serving/src/paused_endpoint_test.ts
+++ b/packages/serving/src/paused_endpoint_test.ts
@@ -5,17 +5,17 @@
 
 const SECOND: Millis = 1_000;
 const PAUSE = 3 * SECOND;
-/** What reaches the endpoint before this was on its way. */
-const TOLD_BEFORE = 500;
-/** So many of one entry may reach it all the same. */
-const ALLOWED = 2;
-const SHEDS_FROM = 5 * SECOND;
-const SHEDS_UNTIL = 20 * SECOND;
-const SHEDS = { from: SHEDS_FROM, until: SHEDS_UNTIL };
+/** Requests that arrive earlier after the report may have been in transit. */
+const GRACE_PERIOD = 500;
+/** Requests of one entry that may still arrive within a pause. */
+const MAX_LATE_REQUESTS = 2;
+const PAUSING_FROM = 5 * SECOND;
+const PAUSING_UNTIL = 20 * SECOND;
+const PAUSING_PERIOD = { from: PAUSING_FROM, until: PAUSING_UNTIL };
 const duration = 25 * SECOND;
 
-/** The most that one entry sent an endpoint within a pause it had asked for. */
-function countMost(arrivals: readonly FleetArrival[]): number {
+/** Counts the most requests of one entry within a pause it was notified of. */
+function countMostInPause(arrivals: readonly FleetArrival[]): number {
   const pauses = arrivals.flatMap(({ endpoint, entry, told }) =>
     told.filter(({ pause }) => pause !== undefined)
       .map(({ at, pause = 0 }) => ({ endpoint, entry, at, until: at + pause }))
@@ -26,7 +26,7 @@
   const counts = [...distinct.values()].map((pause) =>
     arrivals.filter(({ endpoint, entry, at }) =>
       endpoint === pause.endpoint && entry === pause.entry &&
-      at >= pause.at + TOLD_BEFORE && at < pause.until
+      at >= pause.at + GRACE_PERIOD && at < pause.until
     ).length
   );
   return Math.max(0, ...counts);
@@ -58,51 +58,57 @@
     },
   };
 
-  // It turns all away at once, so it has the fewest requests in progress and is
-  // chosen first, again and again; each costs a repeat at another endpoint.
-  it("gets nothing from an entry that it has turned away", async () => {
+  // The endpoint refuses all requests at once, so it has the fewest in progress
+  // and would always be chosen first; each refusal costs a retry elsewhere.
+  it("gets no requests from an entry that it has refused", async () => {
     const found: Record<string, string> = {};
     for (const [name, { paused, ...load }] of Object.entries(CASES)) {
       const { arrivals } = await runSignallingFleet({
         ...load,
         duration,
-        readSignals: createSignals({ ...SHEDS, count: paused }, {
+        readSignals: createSignals({ ...PAUSING_PERIOD, count: paused }, {
           pause: PAUSE,
         }),
       });
-      const most = countMost(arrivals);
-      found[name] = most <= ALLOWED ? "kept" : `${most} requests in a pause`;
+      const most = countMostInPause(arrivals);
+      found[name] = most <= MAX_LATE_REQUESTS
+        ? "kept"
+        : `${most} requests in a pause`;
     }
     expect(found).to.deep.equal(
       Object.fromEntries(Object.keys(CASES).map((name) => [name, "kept"])),
     );
   }).timeout(60_000);
 
-  it("takes work again when its pause is over", async () => {
+  it("gets requests again when its pause is over", async () => {
     const { arrivals } = await runSignallingFleet({
       entries: 8,
       endpoints: 4,
       perSecond: 30,
       duration,
-      readSignals: createSignals({ ...SHEDS, count: 1 }, { pause: PAUSE }),
+      readSignals: createSignals({ ...PAUSING_PERIOD, count: 1 }, {
+        pause: PAUSE,
+      }),
     });
-    const after = arrivals.filter(({ at }) => at >= SHEDS_UNTIL + PAUSE);
+    const after = arrivals.filter(({ at }) => at >= PAUSING_UNTIL + PAUSE);
     const share = after.filter(({ endpoint }) => endpoint === 0).length /
       after.length;
     expect(share).to.be.at.least(0.2);
   });
 
-  // Nobody takes the request before its caller should come back.
-  it("lets its callers be refused at once, with the time that is left", async () => {
+  // No endpoint accepts the request until the time when its caller may retry.
+  it("causes refusals at once, with the remaining pause as delay", async () => {
     const { refusals } = await runSignallingFleet({
       entries: 8,
       endpoints: 4,
       perSecond: 30,
       duration,
-      readSignals: createSignals({ ...SHEDS, count: 4 }, { pause: PAUSE }),
+      readSignals: createSignals({ ...PAUSING_PERIOD, count: 4 }, {
+        pause: PAUSE,
+      }),
     });
     const within = refusals.filter(({ at }) =>
-      at >= SHEDS_FROM + SECOND && at < SHEDS_UNTIL
+      at >= PAUSING_FROM + SECOND && at < PAUSING_UNTIL
     );
     const sum = within.reduce((total, { retryAfter }) => total + retryAfter, 0);
     expect(within.length).to.be.at.least(100);
--- a/packages/serving/src/test_fleet.ts
+++ b/packages/serving/src/test_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several entries before engines that end and come back, on a fake clock and
- * without sockets; for tests of what entries must know together.
+ * Simulates several entries and endpoints that crash and restart, on a fake
+ * clock and without sockets; for tests of state that entries share.
  *
  * @module
  */
@@ -36,11 +36,11 @@
   createTestTable,
 } from "./test_support.ts";
 
-/** A body that ends each endpoint which begins to work on it. */
+/** A body that crashes each endpoint which runs it. */
 export const CRASHING = "crashing";
-/** From reaching an endpoint until it ends, or until other work is done. */
+/** Time that an endpoint works on a request, until it answers or crashes. */
 export const WORK_TIME: Millis = 50;
-/** An endpoint that has ended is replaced after this. */
+/** A crashed endpoint is restarted after this time. */
 export const RESTART_TIME: Millis = 3_000;
 const EXCHANGE_INTERVAL: Millis = 500;
 
@@ -52,72 +52,74 @@
   route?: Partial<Route>;
 }
 
-/** One coming of a request. */
-export interface Coming {
-  /** The number of the entry that it comes to. */
+/** One arrival of a request. */
+export interface Arrival {
+  /** The number of the entry that receives it. */
   entry: number;
   body: string;
 }
 
-/** What became of it. */
-export interface ComingEnd {
-  /** What the caller got, in order. */
+/** The outcome of an arrival. */
+export interface ArrivalOutcome {
+  /** What the caller received, in order. */
   seen: string[];
   took: Millis;
 }
 
-/** Entries and endpoints. */
+/** Simulated entries and endpoints. */
 export interface TestFleet {
-  /** Sends a request under a new id; resolves with its end. */
-  send(coming: Coming): Promise<ComingEnd>;
-  /** Keys of endpoints that work with this body reached, in order. */
+  /** Sends a request under a new id; resolves with its outcome. */
+  send(arrival: Arrival): Promise<ArrivalOutcome>;
+  /** Lists the keys of the endpoints that this body reached, in order. */
   listReached(body: string): readonly string[];
-  /** Ends some endpoints at once, whatever they work on. */
-  endEndpoints(count: number): void;
-  /** Starts all entries again; they know what the store knows. */
+  /** Kills some endpoints at once, whatever they work on. */
+  killEndpoints(count: number): void;
+  /** Restarts all entries; they load the records of the store. */
   restartEntries(): void;
-  /** While it is away the store takes nothing. */
-  setStoreAway(isAway: boolean): void;
+  /** A store that is down rejects writes. */
+  setStoreDown(isDown: boolean): void;
 }
 
 interface RunningCall {
   endpointKey: string;
-  breakOff: () => void;
+  cut: () => void;
 }
 
-/** Creates the fleet; all endpoints are live and known to all entries. */
+/** Creates the fleet; all endpoints are running and known to all entries. */
 export function createTestFleet(
   { clock, entries, endpoints, route = {} }: TestFleetOptions,
 ): TestFleet {
-  let live = Array.from(
+  let runningEndpoints = Array.from(
     { length: endpoints },
     (_, number) => createTestEndpoint(`e${number}`),
   );
   const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
-  directory.replaceAll(live);
+  directory.replaceAll(runningEndpoints);
   const running = new Set<RunningCall>();
   const reached: { body: string; endpointKey: string }[] = [];
   const table = createTestTable([
     createTestRoute({ isPublic: true, ...route }),
   ]);
-  let comings = 0;
+  let requestCount = 0;
 
   function isListening(endpoint: EndpointInfo): boolean {
     const key = formatEndpointKey(endpoint);
-    return live.some((other) => formatEndpointKey(other) === key);
+    return runningEndpoints.some((other) => formatEndpointKey(other) === key);
   }
 
-  function endEndpoint(endpoint: EndpointInfo): void {
+  function killEndpoint(endpoint: EndpointInfo): void {
     if (!isListening(endpoint)) return;
     const key = formatEndpointKey(endpoint);
-    live = live.filter((other) => formatEndpointKey(other) !== key);
+    runningEndpoints = runningEndpoints.filter((other) =>
+      formatEndpointKey(other) !== key
+    );
     for (const call of [...running]) {
-      if (call.endpointKey === key) call.breakOff();
+      if (call.endpointKey === key) call.cut();
     }
     clock.startTimer(RESTART_TIME, () => {
       const incarnation = String(Number(endpoint.incarnation) + 1);
-      live = [...live, { ...endpoint, incarnation }];
-      directory.replaceAll(live);
+      runningEndpoints = [...runningEndpoints, { ...endpoint, incarnation }];
+      directory.replaceAll(runningEndpoints);
     });
   }
 
@@ -140,20 +142,20 @@
       };
       const call: RunningCall = {
         endpointKey,
-        breakOff: () =>
+        cut: () =>
           finish(Result.err({ kind: "cut", sent: "maybe", message: "closed" })),
       };
       running.add(call);
       const stop = clock.startTimer(WORK_TIME, () => {
-        if (body === CRASHING) endEndpoint(endpoint);
+        if (body === CRASHING) killEndpoint(endpoint);
         else finish(Result.ok(createTestReply([body])));
       });
     });
   };
 
-  /** The store's records, and the entries that follow them. */
+  /** The records of the store. */
   const records = new Map<string, QuarantinedContent>();
-  let isStoreAway = false;
+  let isStoreDown = false;
   const news: QuarantineNews[] = [];
   const peers = Array.from(
     { length: entries },
@@ -171,14 +173,14 @@
   };
 
   function writeStore(content: string, write: () => void) {
-    if (isStoreAway) return Promise.resolve(Result.err<null, string>("away"));
+    if (isStoreDown) return Promise.resolve(Result.err<null, string>("down"));
     write();
     const record = { key: content, value: undefined };
     news.forEach((entry) => entry.takeRecords([record]));
     return Promise.resolve(Result.ok<null, string>(null));
   }
 
-  /** Each entry exchanges what it knows with one other, in turn. */
+  /** Each entry gossips with one other, in turn. */
   function exchangeNews(round: number): void {
     news.forEach((entry, number) => {
       const partner = news[(number + 1 + round % (entries - 1)) % entries]!;
@@ -224,7 +226,7 @@
           clock,
           checkListening: (address) =>
             Promise.resolve(
-              live.some((other) => other.address === address)
+              runningEndpoints.some((other) => other.address === address)
                 ? "listening"
                 : "refused",
             ),
@@ -239,14 +241,14 @@
   let states = Array.from({ length: entries }, createEntry);
   exchangeNews(0);
 
-  async function send({ entry, body }: Coming): Promise<ComingEnd> {
+  async function send({ entry, body }: Arrival): Promise<ArrivalOutcome> {
     const startedAt = clock.now();
     const state = states[entry]!;
     state.configAge.noteConfirmed(state.configAge.readTime());
     const { response, seen } = createRecordedResponse();
     await serveRequest(state, {
       request: {
-        head: createTestHead({ id: `request-${++comings}` }),
+        head: createTestHead({ id: `request-${++requestCount}` }),
         body: Buffer.from(body),
       },
       response,
@@ -260,12 +262,13 @@
     listReached: (body) =>
       reached.filter((run) => run.body === body)
         .map(({ endpointKey }) => endpointKey),
-    endEndpoints: (count) => live.slice(0, count).forEach(endEndpoint),
+    killEndpoints: (count) =>
+      runningEndpoints.slice(0, count).forEach(killEndpoint),
     restartEntries() {
       states = Array.from({ length: entries }, createEntry);
     },
-    setStoreAway(isAway) {
-      isStoreAway = isAway;
+    setStoreDown(isDown) {
+      isStoreDown = isDown;
     },
   };
 }
