--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -238,7 +238,8 @@
   options: AttemptOptions,
   endpoint: EndpointInfo,
 ): Promise<FinishedAttempt> {
-  const { clock, loads, callEndpoint, findDelays, runWatch } = state;
+  const { clock, loads, callEndpoint, findDelays, runWatch: crashDetector } =
+    state;
   const { request, admitted, deadline, results } = options;
   const startedAt = clock.now();
   const stopRelease = results === undefined
@@ -276,9 +277,14 @@
   loads.end(endpoint, end.load);
   if (end.load === "unreachable") state.noteUnreachable(endpoint);
   const { account } = admitted;
-  if (end.load === "done") runWatch.noteCompleted({ request, account });
+  if (end.load === "done") crashDetector.noteCompleted({ request, account });
   if (end.load === "broken") {
-    void runWatch.noteBroken({ request, account, endpoint, sentAt: startedAt });
+    void crashDetector.noteBroken({
+      request,
+      account,
+      endpoint,
+      sentAt: startedAt,
+    });
   }
   const load = answer.isOk && answer.value.kind !== "invalid"
     ? answer.value.load
--- a/packages/serving/src/caller_response.ts
+++ b/packages/serving/src/caller_response.ts
@@ -17,9 +17,9 @@
   /** Aborts if the caller disconnects before the response is complete. */
   readonly gone: AbortSignal;
   /** Sends a response with its complete body. */
-  sendWhole(answer: WholeAnswer): void;
+  sendWhole(answer: BufferedAnswer): void;
   /** Sends the head of a streamed response. */
-  startStream(head: Omit<WholeAnswer, "body">): void;
+  startStream(head: Omit<BufferedAnswer, "body">): void;
   /** Writes a chunk; resolves once the caller can receive more. */
   write(chunk: Buffer): Promise<void>;
   /** Ends a stream; one that is cut closes the connection. */
@@ -29,7 +29,7 @@
 }
 
 /** A response with its complete body. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   status: number;
   headers: HeaderList;
   body: Buffer;
@@ -67,7 +67,7 @@
     response.writeHead(status, list);
   }
 
-  function sendWhole({ status, headers, body }: WholeAnswer): void {
+  function sendBuffered({ status, headers, body }: BufferedAnswer): void {
     if (response.headersSent || response.destroyed) return;
     const length = ["Content-Length", String(body.length)] as const;
     writeHead(status, [...headers, length]);
@@ -87,7 +87,7 @@
       return response.headersSent;
     },
     gone: controller.signal,
-    sendWhole,
+    sendWhole: sendBuffered,
     startStream({ status, headers }) {
       if (response.headersSent || response.destroyed) return;
       writeHead(status, headers);
@@ -102,7 +102,7 @@
       const { status, headers } = encodeFailure(failure);
       const body = Buffer.from(JSON.stringify({ reason: failure.message }));
       const type = ["Content-Type", "application/json"] as const;
-      sendWhole({ status, headers: [...headers, type], body });
+      sendBuffered({ status, headers: [...headers, type], body });
     },
   };
 }
--- a/packages/serving/src/endpoint_load.ts
+++ b/packages/serving/src/endpoint_load.ts
@@ -106,7 +106,7 @@
     return { info, inFlight, health, report, slowness, load };
   }
 
-  function listInUse(endpoints: readonly EndpointInfo[]): EndpointLoad[] {
+  function listHealthy(endpoints: readonly EndpointInfo[]): EndpointLoad[] {
     const all = endpoints.map(createView);
     const healthy = all.filter(({ health }) => !health.isEjected());
     return healthy.length > 0 ? healthy : all;
@@ -114,7 +114,7 @@
 
   return {
     view: (endpoints) => endpoints.map(createView),
-    listInUse,
+    listInUse: listHealthy,
     begin(endpoint) {
       findState(endpoint).inFlight++;
     },
--- a/packages/serving/src/endpoint_signals.ts
+++ b/packages/serving/src/endpoint_signals.ts
@@ -42,7 +42,7 @@
 ) => void;
 
 /** Options of {@linkcode createSignalNotes}. */
-export interface SignalNotesOptions {
+export interface SignalHandlerOptions {
   log: DecisionLog;
   metrics: Pick<ServingMetrics, "countSignal">;
   limits: Pick<EndpointLimits, "note" | "find">;
@@ -60,7 +60,7 @@
 
 /** Creates the handler of one entry. */
 export function createSignalNotes(
-  { log, metrics, limits, directory, pauses, listAt }: SignalNotesOptions,
+  { log, metrics, limits, directory, pauses, listAt }: SignalHandlerOptions,
 ): NoteSignals {
   function applyLimit(from: SignalOrigin, rateLimit?: number): void {
     const { endpoint, sentAt } = from;
--- a/packages/serving/src/peer_penalties.ts
+++ b/packages/serving/src/peer_penalties.ts
@@ -12,7 +12,7 @@
 export type BackoffReason = "silent" | "old";
 
 /** Back-off for each peer, by its address. */
-export interface PeerPenalties {
+export interface PeerBackoff {
   isUsable(address: string): boolean;
   note(address: string, kind: BackoffReason): void;
   clear(address: string): void;
@@ -33,7 +33,7 @@
 };
 
 /** Creates the back-off; every peer is usable at first. */
-export function createPeerPenalties(clock: Clock): PeerPenalties {
+export function createPeerPenalties(clock: Clock): PeerBackoff {
   const backoffs = new Map<string, Backoff>();
 
   return {
--- a/packages/serving/src/quarantine_news.ts
+++ b/packages/serving/src/quarantine_news.ts
@@ -26,7 +26,7 @@
 import type { KeyedRecord } from "./serving_handles.ts";
 
 /** Options of {@linkcode createQuarantineNews}. */
-export interface QuarantineNewsOptions {
+export interface QuarantineGossipOptions {
   clock: Clock;
   random: () => number;
   log: DecisionLog;
@@ -44,9 +44,9 @@
 /** Shares quarantines with peers and the store, for one entry. */
 export interface QuarantineNews {
   /** Records a crash locally and reports it to the aggregators. */
-  noteEnded(run: EndedRun): void;
+  recordCrash(run: EndedRun): void;
   /** Records a completed run; reports it if the content was suspected here. */
-  noteCompleted(content: string): void;
+  recordCompletion(content: string): void;
   /** Aggregates a peer's report; the reply lists contents quarantined by it. */
   answer(report: RunReport): RunReportReply;
   /** Applies records of the store; records about something else are ignored. */
@@ -84,13 +84,13 @@
 
 /** Creates the gossip of one entry. */
 export function createQuarantineNews(
-  options: QuarantineNewsOptions,
+  options: QuarantineGossipOptions,
 ): QuarantineNews {
   const { clock, random, log, quarantine, store, membership, signal } = options;
   /** By the control address of the peer. */
   let pending = new Map<string, PendingReport>();
 
-  function noteEnded(run: EndedRun): void {
+  function recordCrash(run: EndedRun): void {
     const { content, endedAgo } = run;
     // Only aggregators count crashes: others do not learn that the content
     // completed elsewhere.
@@ -104,7 +104,7 @@
     }
   }
 
-  function noteCompleted(content: string): void {
+  function recordCompletion(content: string): void {
     if (!handleCompleted(content)) return;
     for (const { completed } of listPendingReports(content)) {
       if (completed.length < MAX_REPORT_ROWS) completed.push(content);
@@ -161,7 +161,7 @@
     reply?.quarantined.forEach((found) => mergeQuarantined(found, "peer"));
   }
 
-  function answer({ ended, completed }: RunReport): RunReportReply {
+  function handleReport({ ended, completed }: RunReport): RunReportReply {
     completed.forEach(handleCompleted);
     return {
       quarantined: ended.flatMap((run) => {
@@ -224,7 +224,7 @@
     }
   }
 
-  function takeRecords(records: readonly KeyedRecord[]): void {
+  function applyRecords(records: readonly KeyedRecord[]): void {
     for (const record of records) {
       const decoded = store.decode(record);
       if (decoded === undefined) continue;
@@ -234,7 +234,7 @@
     }
   }
 
-  function readNews(): PoisonNews | undefined {
+  function readUpdate(): PoisonNews | undefined {
     if (quarantine.isEmpty()) return undefined;
     const quarantined = quarantine.chooseQuarantined(MAX_UPDATE_CONTENTS);
     const suspected = quarantine.chooseSuspected(MAX_UPDATE_CONTENTS);
@@ -242,7 +242,7 @@
     return isEmpty ? undefined : { quarantined, suspected };
   }
 
-  function takeNews({ quarantined, suspected }: PoisonNews): void {
+  function applyUpdate({ quarantined, suspected }: PoisonNews): void {
     quarantined.forEach((found) => mergeQuarantined(found, "peer"));
     suspected.forEach(quarantine.noteSuspected);
   }
@@ -251,14 +251,14 @@
    * Covers the quarantines that are still gossiped; older ones have been in the
    * store for long, and thus in its copy.
    */
-  function publishAgain(): void {
+  function publishRecent(): void {
     for (const found of quarantine.chooseQuarantined(MAX_REPUBLISHED)) {
       const isAggregator = listAggregators(found.content).some(isSelf);
       if (isAggregator) void writeStore(() => store.announce(found));
     }
   }
 
-  async function watchTerms(): Promise<void> {
+  async function releaseExpired(): Promise<void> {
     while (!signal.aborted) {
       await clock.sleep(EXPIRY_CHECK_INTERVAL, signal);
       for (const content of quarantine.releaseLapsed()) {
@@ -270,13 +270,13 @@
   }
 
   return {
-    noteEnded,
-    noteCompleted,
-    answer,
-    takeRecords,
-    readNews,
-    takeNews,
-    publishAgain,
-    watchTerms,
+    recordCrash,
+    recordCompletion,
+    answer: handleReport,
+    takeRecords: applyRecords,
+    readNews: readUpdate,
+    takeNews: applyUpdate,
+    publishAgain: publishRecent,
+    watchTerms: releaseExpired,
   };
 }
--- a/packages/serving/src/request_service.ts
+++ b/packages/serving/src/request_service.ts
@@ -122,7 +122,8 @@
   { request, receivedAt }: RequestContext,
   { admitted, deadline }: AdmittedRequest,
 ): Promise<Result<StageResults, Failure>> {
-  const { clock, log, router, random, callerElapsed, runWatch } = state;
+  const { clock, log, router, random, callerElapsed, runWatch: crashDetector } =
+    state;
   const { route, table, rank, account } = admitted;
   const promptTokens = sumTokens(request.head.promptParts);
   // With just enough time left, a request misses its objective at the smallest
@@ -176,7 +177,7 @@
       table.findPool(pool)?.batching?.resultLifetime ?? Infinity,
     readPlace: (result) => state.findPlace(state.readMaker(result)),
     place,
-    noteEnds: (ends) => runWatch.noteStageEnds({ request, account }, ends),
+    noteEnds: (ends) => crashDetector.noteStageEnds({ request, account }, ends),
     signal: deadline.signal,
   });
 }
--- a/packages/serving/src/run_watch.ts
+++ b/packages/serving/src/run_watch.ts
@@ -22,45 +22,45 @@
 import type { PassedRequest } from "./serving_handles.ts";
 
 /** A request with the client account that sent it. */
-export interface WatchedRequest {
+export interface TrackedRequest {
   request: PassedRequest;
   /** The client account; undefined where there are none. */
   account: string | undefined;
 }
 
 /** A run whose connection ended before the answer was complete. */
-export interface BrokenRun extends WatchedRequest {
+export interface BrokenRun extends TrackedRequest {
   endpoint: EndpointInfo;
   sentAt: Millis;
 }
 
 /** Tracks the runs of one entry. */
-export interface RunWatch {
+export interface CrashDetector {
   /** Resolves once the endpoint was checked and a crash was recorded. */
   noteBroken(run: BrokenRun): Promise<void>;
   /** Records crashes of stage endpoints that their dispatcher found. */
-  noteStageEnds(watched: WatchedRequest, ends: readonly EndpointEnd[]): void;
-  noteCompleted(watched: WatchedRequest): void;
+  noteStageEnds(tracked: TrackedRequest, ends: readonly EndpointEnd[]): void;
+  noteCompleted(tracked: TrackedRequest): void;
   /** Returns the refusal of a quarantined request; undefined if it may run. */
-  findRefusal(watched: WatchedRequest): Failure | undefined;
+  findRefusal(tracked: TrackedRequest): Failure | undefined;
 }
 
 /** Options of {@linkcode createRunWatch}. */
-export interface RunWatchOptions {
+export interface CrashDetectorOptions {
   clock: Clock;
   log: DecisionLog;
   endpointCheck: EndpointCheck;
   quarantine: Pick<PoisonQuarantine, "isEmpty" | "readTimeLeft">;
-  news: Pick<QuarantineNews, "noteEnded" | "noteCompleted">;
+  news: Pick<QuarantineNews, "recordCrash" | "recordCompletion">;
 }
 
 /** Creates the detector of one entry. */
 export function createRunWatch(
-  { clock, log, endpointCheck, quarantine, news }: RunWatchOptions,
-): RunWatch {
+  { clock, log, endpointCheck, quarantine, news: gossip }: CrashDetectorOptions,
+): CrashDetector {
   const digests = new WeakMap<PassedRequest, string>();
 
-  function computeDigest({ request, account }: WatchedRequest): string {
+  function computeDigest({ request, account }: TrackedRequest): string {
     const cached = digests.get(request);
     if (cached !== undefined) return cached;
     const { method, host, target } = request.head;
@@ -76,7 +76,7 @@
     return digest;
   }
 
-  async function noteBroken(run: BrokenRun): Promise<void> {
+  async function handleBrokenRun(run: BrokenRun): Promise<void> {
     const { request, account, endpoint, sentAt } = run;
     const endedAt = clock.now();
     const condition = await endpointCheck.checkCondition(endpoint);
@@ -92,7 +92,7 @@
     });
     if (condition !== "ended") return;
     const now = clock.now();
-    news.noteEnded({
+    gossip.recordCrash({
       content,
       endpointKey: formatEndpointKey(endpoint),
       sentAgo: now - sentAt,
@@ -100,22 +100,22 @@
     });
   }
 
-  function noteStageEnds(
-    watched: WatchedRequest,
+  function recordStageCrashes(
+    tracked: TrackedRequest,
     ends: readonly EndpointEnd[],
   ): void {
-    const content = computeDigest(watched);
-    ends.forEach((end) => news.noteEnded({ content, ...end }));
+    const content = computeDigest(tracked);
+    ends.forEach((end) => gossip.recordCrash({ content, ...end }));
   }
 
-  function noteCompleted(watched: WatchedRequest): void {
+  function recordCompletion(tracked: TrackedRequest): void {
     if (quarantine.isEmpty()) return;
-    news.noteCompleted(computeDigest(watched));
+    gossip.recordCompletion(computeDigest(tracked));
   }
 
-  function findRefusal(watched: WatchedRequest): Failure | undefined {
+  function findRefusal(tracked: TrackedRequest): Failure | undefined {
     if (quarantine.isEmpty()) return undefined;
-    const retryAfterMs = quarantine.readTimeLeft(computeDigest(watched));
+    const retryAfterMs = quarantine.readTimeLeft(computeDigest(tracked));
     if (retryAfterMs === 0) return undefined;
     return createFailure("unavailable", {
       verdict: "not_run",
@@ -124,5 +124,10 @@
     });
   }
 
-  return { noteBroken, noteStageEnds, noteCompleted, findRefusal };
+  return {
+    noteBroken: handleBrokenRun,
+    noteStageEnds: recordStageCrashes,
+    noteCompleted: recordCompletion,
+    findRefusal,
+  };
 }
--- a/packages/serving/src/run_watch_test.ts
+++ b/packages/serving/src/run_watch_test.ts
@@ -5,22 +5,22 @@
 import { expect } from "chai";
 import { createSilentDecisionLog } from "./decision_log.ts";
 import type { EndpointCondition } from "./endpoint_check.ts";
-import type { WatchedRequest } from "./run_watch.ts";
+import type { TrackedRequest } from "./run_watch.ts";
 import { createRunWatch } from "./run_watch.ts";
 import { createTestEndpoint, createTestHead } from "./test_support.ts";
 
-function createWatched(
+function createTracked(
   { id = "1", account = "one", target = "/r/x", body = "b" } = {},
-): WatchedRequest {
+): TrackedRequest {
   const head = createTestHead({ id, target });
   return { account, request: { head, body: Buffer.from(body) } };
 }
 
-function createWatch(clock: FakeClock, condition: EndpointCondition) {
+function createDetector(clock: FakeClock, condition: EndpointCondition) {
   const ended: EndedRun[] = [];
   const completed: string[] = [];
   const quarantine = createPoisonQuarantine(clock);
-  const watch = createRunWatch({
+  const detector = createRunWatch({
     clock,
     log: createSilentDecisionLog(),
     endpointCheck: {
@@ -31,20 +31,20 @@
     },
     quarantine,
     news: {
-      noteEnded: (run) => ended.push(run),
-      noteCompleted: (content) => completed.push(content),
+      recordCrash: (run) => ended.push(run),
+      recordCompletion: (content) => completed.push(content),
     },
   });
-  return { watch, quarantine, ended, completed };
+  return { detector, quarantine, ended, completed };
 }
 
 describe("crash detector", () => {
   async function noteBroken(condition: EndpointCondition) {
     const clock = createFakeClock(0);
-    const { watch, ended } = createWatch(clock, condition);
+    const { detector, ended } = createDetector(clock, condition);
     await clock.advance(300);
-    const noted = watch.noteBroken({
-      ...createWatched(),
+    const noted = detector.noteBroken({
+      ...createTracked(),
       endpoint: createTestEndpoint("e1"),
       sentAt: 100,
     });
@@ -70,9 +70,9 @@
 
   it("identifies content by path, account and body, not by id", async () => {
     const clock = createFakeClock(0);
-    const { watch, ended, quarantine } = createWatch(clock, "ended");
-    const noted = watch.noteBroken({
-      ...createWatched(),
+    const { detector, ended, quarantine } = createDetector(clock, "ended");
+    const noted = detector.noteBroken({
+      ...createTracked(),
       endpoint: createTestEndpoint("e1"),
       sentAt: 0,
     });
@@ -80,8 +80,8 @@
     await noted;
     const { content } = ended[0]!;
     quarantine.adopt({ content, endpointKeys: ["e1#1"], term: 60_000 });
-    const isRefused = (change: Parameters<typeof createWatched>[0]) =>
-      watch.findRefusal(createWatched(change)) !== undefined;
+    const isRefused = (change: Parameters<typeof createTracked>[0]) =>
+      detector.findRefusal(createTracked(change)) !== undefined;
     expect({
       same: isRefused({ id: "2" }),
       otherPath: isRefused({ target: "/r/y" }),
@@ -93,7 +93,7 @@
       otherAccount: false,
       otherBody: false,
     });
-    expect(watch.findRefusal(createWatched())).to.deep.include({
+    expect(detector.findRefusal(createTracked())).to.deep.include({
       kind: "unavailable",
       verdict: "not_run",
       retryAfterMs: 60_000,
@@ -101,9 +101,9 @@
   });
 
   it("computes no digests while no content is suspected", () => {
-    const { watch, completed } = createWatch(createFakeClock(0), "ended");
-    watch.noteCompleted(createWatched());
+    const { detector, completed } = createDetector(createFakeClock(0), "ended");
+    detector.noteCompleted(createTracked());
     expect(completed).to.deep.equal([]);
-    expect(watch.findRefusal(createWatched())).to.equal(undefined);
+    expect(detector.findRefusal(createTracked())).to.equal(undefined);
   });
 });
--- a/packages/serving/src/serving_state.ts
+++ b/packages/serving/src/serving_state.ts
@@ -19,7 +19,7 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { PieceRouter } from "./piece_router.ts";
-import type { RunWatch } from "./run_watch.ts";
+import type { CrashDetector } from "./run_watch.ts";
 import type { NoteSignals } from "./endpoint_signals.ts";
 import type { CallEndpoint } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
@@ -47,7 +47,7 @@
   noteUnreachable: (endpoint: EndpointInfo) => void;
   router: PieceRouter;
   callEndpoint: CallEndpoint;
-  runWatch: RunWatch;
+  runWatch: CrashDetector;
   /** Returns the address of the endpoint that stores a result. */
   readMaker: (result: string) => string;
   /** Returns the place of the endpoint at an address, if it is known. */
--- a/packages/serving/src/test_fleet.ts
+++ b/packages/serving/src/test_fleet.ts
@@ -156,7 +156,7 @@
   /** The records of the store. */
   const records = new Map<string, QuarantinedContent>();
   let isStoreDown = false;
-  const news: QuarantineNews[] = [];
+  const gossips: QuarantineNews[] = [];
   const peers = Array.from(
     { length: entries },
     (_, number) => createTestPeer(String(number)),
@@ -176,25 +176,25 @@
     if (isStoreDown) return Promise.resolve(Result.err<null, string>("down"));
     write();
     const record = { key: content, value: undefined };
-    news.forEach((entry) => entry.takeRecords([record]));
+    gossips.forEach((entry) => entry.takeRecords([record]));
     return Promise.resolve(Result.ok<null, string>(null));
   }
 
   /** Each entry gossips with one other, in turn. */
-  function exchangeNews(round: number): void {
-    news.forEach((entry, number) => {
-      const partner = news[(number + 1 + round % (entries - 1)) % entries]!;
+  function exchangeUpdates(round: number): void {
+    gossips.forEach((entry, number) => {
+      const partner = gossips[(number + 1 + round % (entries - 1)) % entries]!;
       const [mine, theirs] = [entry.readNews(), partner.readNews()];
       if (mine !== undefined) partner.takeNews(mine);
       if (theirs !== undefined) entry.takeNews(theirs);
     });
-    clock.startTimer(EXCHANGE_INTERVAL, () => exchangeNews(round + 1));
+    clock.startTimer(EXCHANGE_INTERVAL, () => exchangeUpdates(round + 1));
   }
 
   function createEntry(_: unknown, number: number): ServingState {
     const log = createSilentDecisionLog();
     const quarantine = createPoisonQuarantine(clock);
-    const quarantineNews = createQuarantineNews({
+    const quarantineGossip = createQuarantineNews({
       clock,
       random: () => 0.5,
       log,
@@ -207,11 +207,11 @@
             .map((record) => ({ record, age: 0, health: "alive" })),
       },
       report: (address, report) =>
-        Promise.resolve(news[Number(address)]!.answer(report)),
+        Promise.resolve(gossips[Number(address)]!.answer(report)),
       signal: new AbortController().signal,
     });
-    news[number] = quarantineNews;
-    quarantineNews.takeRecords(
+    gossips[number] = quarantineGossip;
+    quarantineGossip.takeRecords(
       [...records.keys()].map((key) => ({ key, value: undefined })),
     );
     const state = createTestState(clock, {
@@ -232,14 +232,14 @@
             ),
         }),
         quarantine,
-        news: quarantineNews,
+        news: quarantineGossip,
       }),
     });
     return state;
   }
 
   let states = Array.from({ length: entries }, createEntry);
-  exchangeNews(0);
+  exchangeUpdates(0);
 
   async function send({ entry, body }: Arrival): Promise<ArrivalOutcome> {
     const startedAt = clock.now();
