--- a/packages/serving/src/run_watch.ts
+++ b/packages/serving/src/run_watch.ts
@@ -1,5 +1,6 @@
 /**
- * Watches for requests under which endpoints end, whichever id they come with.
+ * Detects requests that crash the endpoints which run them. Requests are
+ * recognised by their content, as callers may resend them under new ids.
  *
  * @module
  */
@@ -20,48 +21,48 @@
 import type { QuarantineNews } from "./quarantine_news.ts";
 import type { PassedRequest } from "./serving_handles.ts";
 
-/** A request as its client account sent it. */
-export interface WatchedRequest {
+/** A request with the client account that sent it. */
+export interface TrackedRequest {
   request: PassedRequest;
   /** The client account; undefined where there are none. */
   account: string | undefined;
 }
 
-/** A run whose connection ended before the answer did. */
-export interface BrokenRun extends WatchedRequest {
+/** A run whose connection ended before the answer was complete. */
+export interface BrokenRun extends TrackedRequest {
   endpoint: EndpointInfo;
   sentAt: Millis;
 }
 
-/** Watches the runs of one entry. */
-export interface RunWatch {
-  /** Resolves when it is known what became of the endpoint. */
+/** Tracks the runs of one entry. */
+export interface CrashDetector {
+  /** Resolves once the endpoint was checked and a crash was recorded. */
   noteBroken(run: BrokenRun): Promise<void>;
-  /** Takes ends of stage endpoints, as their feeder found them. */
-  noteStageEnds(watched: WatchedRequest, ends: readonly EndpointEnd[]): void;
-  noteCompleted(watched: WatchedRequest): void;
-  /** The refusal of a request that is turned away; undefined if it is let in. */
-  findRefusal(watched: WatchedRequest): Failure | undefined;
+  /** Records crashes of stage endpoints that their dispatcher found. */
+  noteStageEnds(tracked: TrackedRequest, ends: readonly EndpointEnd[]): void;
+  noteCompleted(tracked: TrackedRequest): void;
+  /** Returns the refusal of a quarantined request; undefined if it may run. */
+  findRefusal(tracked: TrackedRequest): Failure | undefined;
 }
 
 /** Options of {@linkcode createRunWatch}. */
-export interface RunWatchOptions {
+export interface CrashDetectorOptions {
   clock: Clock;
   log: DecisionLog;
   endpointCheck: EndpointCheck;
   quarantine: Pick<PoisonQuarantine, "isEmpty" | "readTimeLeft">;
-  news: Pick<QuarantineNews, "noteEnded" | "noteCompleted">;
+  news: Pick<QuarantineNews, "recordCrash" | "recordCompletion">;
 }
 
-/** Creates the watch of an entry that has run nothing yet. */
+/** Creates the detector of one entry. */
 export function createRunWatch(
-  { clock, log, endpointCheck, quarantine, news }: RunWatchOptions,
-): RunWatch {
+  { clock, log, endpointCheck, quarantine, news: gossip }: CrashDetectorOptions,
+): CrashDetector {
   const digests = new WeakMap<PassedRequest, string>();
 
-  function findDigest({ request, account }: WatchedRequest): string {
-    const present = digests.get(request);
-    if (present !== undefined) return present;
+  function computeDigest({ request, account }: TrackedRequest): string {
+    const cached = digests.get(request);
+    if (cached !== undefined) return cached;
     const { method, host, target } = request.head;
     const { body } = request;
     const digest = computeContentDigest({
@@ -75,11 +76,11 @@
     return digest;
   }
 
-  async function noteBroken(run: BrokenRun): Promise<void> {
+  async function handleBrokenRun(run: BrokenRun): Promise<void> {
     const { request, account, endpoint, sentAt } = run;
     const endedAt = clock.now();
     const condition = await endpointCheck.checkCondition(endpoint);
-    const content = findDigest(run);
+    const content = computeDigest(run);
     log.record("run_broken", {
       request: request.head.id,
       content,
@@ -91,7 +92,7 @@
     });
     if (condition !== "ended") return;
     const now = clock.now();
-    news.noteEnded({
+    gossip.recordCrash({
       content,
       endpointKey: formatEndpointKey(endpoint),
       sentAgo: now - sentAt,
@@ -99,22 +100,22 @@
     });
   }
 
-  function noteStageEnds(
-    watched: WatchedRequest,
+  function recordStageCrashes(
+    tracked: TrackedRequest,
     ends: readonly EndpointEnd[],
   ): void {
-    const content = findDigest(watched);
-    ends.forEach((end) => news.noteEnded({ content, ...end }));
+    const content = computeDigest(tracked);
+    ends.forEach((end) => gossip.recordCrash({ content, ...end }));
   }
 
-  function noteCompleted(watched: WatchedRequest): void {
+  function recordCompletion(tracked: TrackedRequest): void {
     if (quarantine.isEmpty()) return;
-    news.noteCompleted(findDigest(watched));
+    gossip.recordCompletion(computeDigest(tracked));
   }
 
-  function findRefusal(watched: WatchedRequest): Failure | undefined {
+  function findRefusal(tracked: TrackedRequest): Failure | undefined {
     if (quarantine.isEmpty()) return undefined;
-    const retryAfterMs = quarantine.readTimeLeft(findDigest(watched));
+    const retryAfterMs = quarantine.readTimeLeft(computeDigest(tracked));
     if (retryAfterMs === 0) return undefined;
     return createFailure("unavailable", {
       verdict: "not_run",
@@ -123,5 +124,10 @@
     });
   }
 
-  return { noteBroken, noteStageEnds, noteCompleted, findRefusal };
+  return {
+    noteBroken: handleBrokenRun,
+    noteStageEnds: recordStageCrashes,
+    noteCompleted: recordCompletion,
+    findRefusal,
+  };
 }
