--- a/packages/serving/src/config_age_log.ts
+++ b/packages/serving/src/config_age_log.ts
@@ -28,28 +28,28 @@
 }
 
 /** The shortest time in which a configuration has to be in force. */
-const OLD_AGE: Millis = 2_000;
+const STALE_AGE: Millis = 2_000;
 
 /** Creates the log of an entry that has read nothing yet. */
 export function createConfigAgeLog(
   { clock, log, metrics, readAge, describe }: ConfigAgeLogOptions,
 ): ConfigAgeLog {
-  let oldSince: Millis | undefined;
+  let staleSince: Millis | undefined;
 
   function check(): void {
     const configAge = readAge();
     // Before the first reading there is no age.
     if (!Number.isFinite(configAge)) return;
     metrics.setConfigAge(configAge);
-    const isOld = configAge > OLD_AGE;
-    if (isOld === (oldSince !== undefined)) return;
-    if (oldSince === undefined) {
-      oldSince = clock.now() - configAge;
+    const isOld = configAge > STALE_AGE;
+    if (isOld === (staleSince !== undefined)) return;
+    if (staleSince === undefined) {
+      staleSince = clock.now() - configAge;
       log.record("knowledge_aged", { configAge, ...describe() });
       return;
     }
-    const oldFor = clock.now() - oldSince;
-    oldSince = undefined;
+    const oldFor = clock.now() - staleSince;
+    staleSince = undefined;
     log.record("knowledge_renewed", { configAge, oldFor, ...describe() });
   }
 
--- a/packages/serving/src/config_freshness.ts
+++ b/packages/serving/src/config_freshness.ts
@@ -12,7 +12,7 @@
 import type { DecisionLog } from "./decision_log.ts";
 import { refreshFromPeer } from "./peer_config.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
-import type { SiteKnowledge } from "./site_knowledge.ts";
+import type { SiteState } from "./site_knowledge.ts";
 
 /** Options of {@linkcode createConfigFreshness}. */
 export interface ConfigFreshnessOptions {
@@ -20,9 +20,9 @@
   random: () => number;
   log: DecisionLog;
   metrics: Pick<ServingMetrics, "setConfigAge">;
-  knowledge: Pick<
-    SiteKnowledge,
-    "readTable" | "configAge" | "takePublished" | "describeConfigReading"
+  siteState: Pick<
+    SiteState,
+    "readTable" | "configAge" | "applyPublished" | "describeConfigReads"
   >;
 }
 
@@ -37,7 +37,7 @@
   /** The version in force here; 0 before the first. */
   readVersion(): number;
   /** Notes the newest version that a live peer has. */
-  notePeerVersion(version: number): void;
+  recordPeerVersion(version: number): void;
   /** Whether a peer has a version that this entry should have by now. */
   isBehindPeers(): boolean;
   /** Writes what is old, and takes what peers have, until the signal aborts. */
@@ -45,20 +45,20 @@
 }
 
 /** Each look wakes the process; keys are bound by seconds. */
-const INTERVAL: Millis = 400;
+const CHECK_INTERVAL: Millis = 400;
 
 /** Creates the check of an entry that knows no configuration yet. */
 export function createConfigFreshness(
-  { clock, random, log, metrics, knowledge }: ConfigFreshnessOptions,
+  { clock, random, log, metrics, siteState }: ConfigFreshnessOptions,
 ): ConfigFreshness {
   const versions = createVersionWatch(clock);
 
   function readVersion(): number {
-    return knowledge.readTable()?.config.version ?? 0;
+    return siteState.readTable()?.config.version ?? 0;
   }
 
   function isBehindPeers(): boolean {
-    return versions.isBehind(readVersion(), knowledge.configAge.read());
+    return versions.isBehind(readVersion(), siteState.configAge.read());
   }
 
   async function follow(
@@ -69,11 +69,11 @@
       clock,
       log,
       metrics,
-      readAge: knowledge.configAge.read,
+      readAge: siteState.configAge.read,
       describe: () => ({
         configVersion: readVersion(),
         peersVersion: versions.readNewest(),
-        ...knowledge.describeConfigReading(),
+        ...siteState.describeConfigReads(),
       }),
     });
     while (!signal.aborted) {
@@ -81,19 +81,19 @@
       if (isBehindPeers()) {
         await refreshFromPeer({
           random,
-          listAhead: () => listAhead(membership),
-          ask: async (address) => {
+          listNewerPeers: () => listNewerPeers(membership),
+          fetch: async (address) => {
             const reply = await peers.readConfig(address);
             return reply.isOk ? reply.value ?? undefined : undefined;
           },
-          take: knowledge.takePublished,
+          apply: siteState.applyPublished,
         });
       }
-      await clock.sleep(INTERVAL, signal);
+      await clock.sleep(CHECK_INTERVAL, signal);
     }
   }
 
-  function listAhead(membership: FollowedPeers["membership"]): string[] {
+  function listNewerPeers(membership: FollowedPeers["membership"]): string[] {
     return membership.list()
       .filter(({ health, record }) =>
         health !== "lost" && record.configVersion > readVersion()
@@ -103,7 +103,7 @@
 
   return {
     readVersion,
-    notePeerVersion: versions.note,
+    recordPeerVersion: versions.note,
     isBehindPeers,
     follow,
   };
--- a/packages/serving/src/fallback_peers.ts
+++ b/packages/serving/src/fallback_peers.ts
@@ -1,10 +1,10 @@
 /**
- * Whom an entry asks when its usual parents tell nothing young: any other entry.
+ * Chooses the peers that an entry reads from if its parents have no fresh data.
  *
- * The load it answers: the store turns some entries away, all readers among
- * them. The others read the store for themselves then, and whoever is turned
- * away has to find one of them. In an outage for all, nobody is of use, and the
- * search is paced.
+ * The store may fail to serve some entries, including all readers. The remaining
+ * entries then read the store themselves, and each entry without the store has to
+ * find one of them. In an outage for all entries no peer is usable, so the search
+ * backs off.
  *
  * @module
  */
@@ -17,50 +17,53 @@
   random: () => number;
 }
 
-/** Peers that stand in for parents. */
+/** Peers that replace the parents of an entry. */
 export interface FallbackPeers {
-  /** The one that was of use last, to be asked before the parents. */
-  readKept(): string | undefined;
-  /** A few of the candidates to ask now; none so shortly after a failure. */
-  chooseSearched(candidates: () => readonly string[]): string[];
-  noteFound(address: string): void;
-  noteNotFound(): void;
+  /** Returns the peer found last, which is to be asked before the parents. */
+  readPreferred(): string | undefined;
+  /** Returns a sample of the candidates to ask now; none during a back-off. */
+  chooseCandidates(candidates: () => readonly string[]): string[];
+  recordFound(address: string): void;
+  recordNotFound(): void;
 }
 
-/** Asked at once in one search: most of them may be turned away as well. */
-const SEARCHED = 8;
-/** Parents are tried again after this, or relays would lose their askers. */
-const KEEP_TIME: Millis = 5_000;
-const FIRST_PAUSE: Millis = 50;
-const PAUSE_GROWTH = 1.5;
-const LONGEST_PAUSE: Millis = 1_600;
+/** Peers asked in one search; the store may not serve most of them either. */
+const SEARCH_COUNT = 8;
+/**
+ * The parents are tried again after this time; otherwise relays would lose their
+ * children for good.
+ */
+const PREFERENCE_TTL: Millis = 5_000;
+const MIN_BACKOFF: Millis = 50;
+const BACKOFF_FACTOR = 1.5;
+const MAX_BACKOFF: Millis = 1_600;
 
-/** Creates the choice of an entry that has asked nobody yet. */
+/** Creates the chooser of an entry that has not searched yet. */
 export function createFallbackPeers(
   { clock, random }: FallbackPeersOptions,
 ): FallbackPeers {
-  let kept: { address: string; until: Millis } | undefined;
-  let pause = FIRST_PAUSE;
-  let searchAt: Millis = -Infinity;
+  let found: { address: string; until: Millis } | undefined;
+  let backoff = MIN_BACKOFF;
+  let nextSearchAt: Millis = -Infinity;
 
-  function chooseSearched(candidates: () => readonly string[]): string[] {
-    if (clock.now() < searchAt) return [];
-    return drawSome(candidates(), { count: SEARCHED, random });
+  function chooseCandidates(candidates: () => readonly string[]): string[] {
+    if (clock.now() < nextSearchAt) return [];
+    return drawSome(candidates(), { count: SEARCH_COUNT, random });
   }
 
   return {
-    readKept() {
-      if (kept !== undefined && clock.now() >= kept.until) kept = undefined;
-      return kept?.address;
+    readPreferred() {
+      if (found !== undefined && clock.now() >= found.until) found = undefined;
+      return found?.address;
     },
-    chooseSearched,
-    noteFound(address) {
-      kept = { address, until: clock.now() + KEEP_TIME };
-      pause = FIRST_PAUSE;
+    chooseCandidates,
+    recordFound(address) {
+      found = { address, until: clock.now() + PREFERENCE_TTL };
+      backoff = MIN_BACKOFF;
     },
-    noteNotFound() {
-      searchAt = clock.now() + pause * (0.5 + random());
-      pause = Math.min(LONGEST_PAUSE, PAUSE_GROWTH * pause);
+    recordNotFound() {
+      nextSearchAt = clock.now() + backoff * (0.5 + random());
+      backoff = Math.min(MAX_BACKOFF, BACKOFF_FACTOR * backoff);
     },
   };
 }
--- a/packages/serving/src/fallback_peers_test.ts
+++ b/packages/serving/src/fallback_peers_test.ts
@@ -8,9 +8,9 @@
   it("asks eight at once, each once", () => {
     const clock = createFakeClock(0);
     const peers = createFallbackPeers({ clock, random: () => 0.99 });
-    const chosen = peers.chooseSearched(() => OTHERS);
+    const chosen = peers.chooseCandidates(() => OTHERS);
     expect(new Set(chosen).size).to.equal(8);
-    expect(peers.chooseSearched(() => ["only"])).to.deep.equal(["only"]);
+    expect(peers.chooseCandidates(() => ["only"])).to.deep.equal(["only"]);
   });
 
   // In an outage for all, each entry would ask eight others all the time.
@@ -19,9 +19,9 @@
     const peers = createFallbackPeers({ clock, random: () => 0.5 });
     const searchedAt: number[] = [];
     while (clock.now() < 6_000) {
-      if (peers.chooseSearched(() => OTHERS).length > 0) {
+      if (peers.chooseCandidates(() => OTHERS).length > 0) {
         searchedAt.push(clock.now());
-        peers.noteNotFound();
+        peers.recordNotFound();
       }
       await clock.advance(50);
     }
@@ -33,11 +33,11 @@
   it("keeps to the one that was found for five seconds", async () => {
     const clock = createFakeClock(0);
     const peers = createFallbackPeers({ clock, random: () => 0.5 });
-    expect(peers.readKept()).to.equal(undefined);
-    peers.noteFound("10.1.0.7");
+    expect(peers.readPreferred()).to.equal(undefined);
+    peers.recordFound("10.1.0.7");
     await clock.advance(4_999);
-    expect(peers.readKept()).to.equal("10.1.0.7");
+    expect(peers.readPreferred()).to.equal("10.1.0.7");
     await clock.advance(1);
-    expect(peers.readKept()).to.equal(undefined);
+    expect(peers.readPreferred()).to.equal(undefined);
   });
 });
--- a/packages/serving/src/keyed_follower.ts
+++ b/packages/serving/src/keyed_follower.ts
@@ -14,31 +14,31 @@
 } from "./serving_handles.ts";
 
 /** What is done with what is read. */
-export interface KeyedSink {
+export interface TopicSink {
   /**
    * The store has come back from an older copy of itself: the newest records
    * that are taken next lack what was written last.
    */
-  noteRestored(): void;
+  handleRestored(): void;
   /** Takes the newest record of every key. */
   replaceAll(records: readonly KeyedRecord[]): void;
   /** Takes one change. */
   apply(record: KeyedRecord): void;
   /** What was taken so far was complete at `askedAt`. */
-  noteConfirmed(askedAt: KnowledgeTime): void;
+  recordConfirmed(askedAt: KnowledgeTime): void;
   /** The topic cannot be read any more. */
-  noteAway(): void;
+  handleUnavailable(): void;
   /** The topic can be read again. */
-  noteBack(): void;
+  handleAvailable(): void;
 }
 
-/** Options of {@linkcode followKeyedTopic}. */
-export interface KeyedFollowerOptions {
+/** Options of {@linkcode followTopic}. */
+export interface TopicFollowerOptions {
   clock: Clock;
   random: () => number;
   signal: AbortSignal;
   source: KeyedSource;
-  sink: KeyedSink;
+  sink: TopicSink;
   readTime: () => KnowledgeTime;
   /** How long one reading waits for a change. */
   wait: Millis;
@@ -47,26 +47,26 @@
 }
 
 /** Pause between two questions to another entry, which waits for changes. */
-const RELAYED_PAUSE: Millis = 50;
+const RELAYED_READ_PAUSE: Millis = 50;
 /** The first pause after a failed reading; doubles up to the longest. */
-const FIRST_BACKOFF: Millis = 50;
-const LONGEST_BACKOFF: Millis = 400;
+const MIN_BACKOFF: Millis = 50;
+const MAX_BACKOFF: Millis = 400;
 /**
  * Nobody of use for a moment is no outage. Taken for one, removals that are read
  * next would not be believed for two seconds, and endpoints that are gone would
  * get requests; while the store is away, no endpoint lapses within three seconds.
  */
-const AWAY_AFTER: Millis = 1_000;
+const UNAVAILABLE_AFTER: Millis = 1_000;
 
 /** Follows until the signal aborts. */
-export async function followKeyedTopic(
+export async function followTopic(
   { clock, random, signal, source, sink, readTime, wait, pause }:
-    KeyedFollowerOptions,
+    TopicFollowerOptions,
 ): Promise<void> {
   let next: TopicPosition | undefined;
   let era: number | undefined;
-  let backoff = FIRST_BACKOFF;
-  let isAway = false;
+  let backoff = MIN_BACKOFF;
+  let isUnavailable = false;
   /** When the topic was last read. */
   let readAt = -Infinity;
 
@@ -77,29 +77,29 @@
       : await source.readFrom(next, wait);
     if (reading.isOk) return reading.value;
     if (reading.error === "expired") next = undefined;
-    else noteFailure();
+    else handleFailure();
     return undefined;
   }
 
-  function noteFailure(): void {
-    if (isAway || clock.now() - readAt < AWAY_AFTER) return;
-    sink.noteAway();
-    isAway = true;
+  function handleFailure(): void {
+    if (isUnavailable || clock.now() - readAt < UNAVAILABLE_AFTER) return;
+    sink.handleUnavailable();
+    isUnavailable = true;
   }
 
-  function takeReading(reading: KeyedReading, askedAt: KnowledgeTime): void {
-    if (isAway) sink.noteBack();
-    isAway = false;
+  function applyResult(reading: KeyedReading, askedAt: KnowledgeTime): void {
+    if (isUnavailable) sink.handleAvailable();
+    isUnavailable = false;
     readAt = clock.now();
-    backoff = FIRST_BACKOFF;
-    const isWhole = next === undefined || reading.isNewest === true;
-    if (era !== undefined && reading.next.era !== era) sink.noteRestored();
+    backoff = MIN_BACKOFF;
+    const isSnapshot = next === undefined || reading.isNewest === true;
+    if (era !== undefined && reading.next.era !== era) sink.handleRestored();
     era = reading.next.era;
-    if (isWhole) sink.replaceAll(reading.records);
+    if (isSnapshot) sink.replaceAll(reading.records);
     else reading.records.forEach((record) => sink.apply(record));
     next = reading.next;
     const { age = 0 } = reading;
-    sink.noteConfirmed({
+    sink.recordConfirmed({
       monotonic: askedAt.monotonic - age,
       wall: askedAt.wall - age,
     });
@@ -109,16 +109,16 @@
     const askedAt = readTime();
     const reading = await readOnce();
     if (reading !== undefined) {
-      takeReading(reading, askedAt);
+      applyResult(reading, askedAt);
       // Another entry has gathered changes already, and tells them as they come.
       const rest = reading.isRelayed === true
-        ? Math.min(pause, RELAYED_PAUSE)
+        ? Math.min(pause, RELAYED_READ_PAUSE)
         : pause;
       // A spread pause keeps entries that started together from asking together.
       await clock.sleep(rest * (0.75 + random() / 2), signal);
       continue;
     }
     await clock.sleep(backoff * (0.5 + random()), signal);
-    backoff = Math.min(LONGEST_BACKOFF, backoff * 2);
+    backoff = Math.min(MAX_BACKOFF, backoff * 2);
   }
 }
--- a/packages/serving/src/keyed_follower_test.ts
+++ b/packages/serving/src/keyed_follower_test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
-import { followKeyedTopic } from "./keyed_follower.ts";
+import { followTopic } from "./keyed_follower.ts";
 import type { KeyedFault, KeyedReading } from "./serving_handles.ts";
 import { createPosition } from "./test_support.ts";
 
@@ -28,7 +28,7 @@
         ),
       );
     };
-    const task = followKeyedTopic({
+    const task = followTopic({
       clock,
       random: () => 0.5,
       signal: controller.signal,
@@ -40,13 +40,13 @@
         },
       },
       sink: {
-        noteRestored: () => seen.push("restored"),
+        handleRestored: () => seen.push("restored"),
         replaceAll: (records) =>
           seen.push(`all ${records.map(({ key }) => key).join("+")}`),
         apply: ({ key }) => seen.push(`one ${key}`),
-        noteConfirmed: () => {},
-        noteAway: () => seen.push("away"),
-        noteBack: () => seen.push("back"),
+        recordConfirmed: () => {},
+        handleUnavailable: () => seen.push("away"),
+        handleAvailable: () => seen.push("back"),
       },
       readTime: () => ({ monotonic: clock.now(), wall: clock.now() }),
       wait: 1_000,
@@ -122,7 +122,7 @@
     const clock = createFakeClock(10_000);
     const controller = new AbortController();
     const confirmed: number[] = [];
-    const task = followKeyedTopic({
+    const task = followTopic({
       clock,
       random: () => 0.5,
       signal: controller.signal,
@@ -132,12 +132,13 @@
         readFrom: () => Promise.resolve(Result.err("unavailable")),
       },
       sink: {
-        noteRestored: () => {},
+        handleRestored: () => {},
         replaceAll: () => {},
         apply: () => {},
-        noteConfirmed: ({ monotonic, wall }) => confirmed.push(monotonic, wall),
-        noteAway: () => {},
-        noteBack: () => {},
+        recordConfirmed: ({ monotonic, wall }) =>
+          confirmed.push(monotonic, wall),
+        handleUnavailable: () => {},
+        handleAvailable: () => {},
       },
       readTime: () => ({ monotonic: clock.now(), wall: clock.now() + 5 }),
       wait: 500,
--- a/packages/serving/src/member_registry.ts
+++ b/packages/serving/src/member_registry.ts
@@ -22,7 +22,7 @@
 }
 
 /** Options of {@linkcode publishEntry}. */
-export interface AnnounceOptions {
+export interface PublishEntryOptions {
   clock: Clock;
   random: () => number;
   signal: AbortSignal;
@@ -35,7 +35,7 @@
 
 /** Writes the entry's record until the store has taken it. */
 export async function publishEntry(
-  { clock, random, signal, store, self, onFault }: AnnounceOptions,
+  { clock, random, signal, store, self, onFault }: PublishEntryOptions,
 ): Promise<void> {
   while (!signal.aborted) {
     const written = await store.announce(self);
@@ -59,14 +59,14 @@
 export interface MemberRegistryOptions {
   decode: MemberStore["decode"];
   /** Told of entries that may have ended since. */
-  onListed: (records: readonly PeerRecord[]) => void;
+  onSnapshot: (records: readonly PeerRecord[]) => void;
   /** Told of an entry that has just started. */
   onJoined: (record: PeerRecord) => void;
 }
 
 /** Creates a registry that knows nobody. */
 export function createMemberRegistry(
-  { decode, onListed, onJoined }: MemberRegistryOptions,
+  { decode, onSnapshot, onJoined }: MemberRegistryOptions,
 ): MemberRegistry {
   /** Control address by the key of the record. */
   const addresses = new Map<string, string>();
@@ -81,7 +81,7 @@
   return {
     replaceAll(records) {
       addresses.clear();
-      onListed(records.flatMap(decodeKnown));
+      onSnapshot(records.flatMap(decodeKnown));
     },
     apply: (record) => decodeKnown(record).forEach(onJoined),
     listAddresses: () => [...addresses.values()],
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -38,7 +38,7 @@
     const registry = createMemberRegistry({
       decode: ({ value }) =>
         value === "?" ? undefined : createTestPeer(value ?? ""),
-      onListed: (records) =>
+      onSnapshot: (records) =>
         told.push(...records.map(({ entry }) => `listed ${entry}`)),
       onJoined: ({ entry }) => told.push(`joined ${entry}`),
     });
--- a/packages/serving/src/peer_config.ts
+++ b/packages/serving/src/peer_config.ts
@@ -13,19 +13,19 @@
 export interface PeerConfigOptions {
   random: () => number;
   /** Control addresses of peers that have a newer one. */
-  listAhead: () => readonly string[];
+  listNewerPeers: () => readonly string[];
   /** A peer's configuration as it was published; undefined without an answer. */
-  ask: (address: string) => Promise<string | undefined>;
+  fetch: (address: string) => Promise<string | undefined>;
   /** Takes a published configuration; versions only rise. */
-  take: (value: string) => void;
+  apply: (value: string) => void;
 }
 
 /** Asks one of them, drawn at random: a silent one is not asked each time. */
 export async function refreshFromPeer(
-  { random, listAhead, ask, take }: PeerConfigOptions,
+  { random, listNewerPeers, fetch, apply }: PeerConfigOptions,
 ): Promise<void> {
-  const ahead = listAhead();
-  const address = ahead[Math.floor(random() * ahead.length)];
-  const value = address === undefined ? undefined : await ask(address);
-  if (value !== undefined) take(value);
+  const newerPeers = listNewerPeers();
+  const address = newerPeers[Math.floor(random() * newerPeers.length)];
+  const value = address === undefined ? undefined : await fetch(address);
+  if (value !== undefined) apply(value);
 }
--- a/packages/serving/src/peer_config_test.ts
+++ b/packages/serving/src/peer_config_test.ts
@@ -7,16 +7,16 @@
   it("is taken from one that answers", async () => {
     const asked: string[] = [];
     const taken: string[] = [];
-    const refresh = (draw: number, ahead = ["silent", "other"]) =>
+    const refresh = (draw: number, newerPeers = ["silent", "other"]) =>
       refreshFromPeer({
         random: () => draw,
-        listAhead: () => ahead,
-        ask: (address) => {
+        listNewerPeers: () => newerPeers,
+        fetch: (address) => {
           asked.push(address);
           const value = address === "silent" ? undefined : "version 8";
           return Promise.resolve(value);
         },
-        take: (value) => taken.push(value),
+        apply: (value) => taken.push(value),
       });
     await refresh(0);
     expect(taken).to.deep.equal([]);
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -32,8 +32,8 @@
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingSettings } from "./serving_options.ts";
 
-/** Options of {@linkcode createPeerNews}. */
-export interface PeerNewsOptions {
+/** Options of {@linkcode createPeerGossip}. */
+export interface PeerGossipOptions {
   clock: Clock;
   readWallTime: () => Millis;
   random: () => number;
@@ -50,21 +50,21 @@
   countInFlight: () => number;
   readConfigVersion: () => number;
   /** Told again and again which version is the newest among live peers. */
-  notePeerVersion: (version: number) => void;
+  recordPeerVersion: (version: number) => void;
   limits: Pick<EndpointLimits, "chooseNews" | "takeNews">;
   /** What is told along of contents that are turned away. */
   quarantine: Pick<QuarantineNews, "readNews" | "takeNews">;
 }
 
 /** The peers of one entry. */
-export interface PeerNews {
+export interface PeerGossip {
   readonly self: PeerRecord;
   readonly membership: Membership;
   readonly peers: ServingPeerClient;
   /** Takes what the store says of entries. */
   readonly registry: MemberRegistry;
   /** Writes this entry's record again, which a copy of the store may lack. */
-  publishAgain(signal: AbortSignal): Promise<void>;
+  republish(signal: AbortSignal): Promise<void>;
   /** Begins to exchange news; ends when the signal aborts. */
   start(signal: AbortSignal): ExchangeLoop;
   /** Entries that a caller may use, at most `limit`; this one if it is ready. */
@@ -74,20 +74,20 @@
 const EXCHANGE_INTERVAL: Millis = 500;
 const PEER_TIMEOUT: Millis = 400;
 /** Five exchanges without news; most news comes through others in two. */
-const SUSPECT_AFTER: Millis = 2_500;
-const LOSE_AFTER: Millis = 6_000;
+const SUSPECT_TIMEOUT: Millis = 2_500;
+const LOST_TIMEOUT: Millis = 6_000;
 /**
  * A message carries the news of some six peers, so among more than this many
  * news of one takes longer; at 86 about three times as long.
  */
-const PROMPT_PEERS = 24;
-const MAX_PATIENCE = 3;
+const FAST_GOSSIP_PEERS = 24;
+const MAX_TIMEOUT_FACTOR = 3;
 
 /** Hundreds of entries write again together; the store takes that spread out. */
-const ANNOUNCE_SPREAD: Millis = 1_000;
+const REPUBLISH_JITTER: Millis = 1_000;
 
 /** Creates the news of an entry that knows only itself. */
-export function createPeerNews(options: PeerNewsOptions): PeerNews {
+export function createPeerGossip(options: PeerGossipOptions): PeerGossip {
   const { clock, readWallTime, random, log, metrics, settings } = options;
   /** Incarnation and state of each peer as last logged. */
   const peerStates = new Map<string, string>();
@@ -111,10 +111,10 @@
     clock,
     self,
     random,
-    suspectAfter: SUSPECT_AFTER,
-    loseAfter: LOSE_AFTER,
+    suspectAfter: SUSPECT_TIMEOUT,
+    loseAfter: LOST_TIMEOUT,
     scalePatience: (known) =>
-      Math.min(MAX_PATIENCE, Math.max(1, known / PROMPT_PEERS)),
+      Math.min(MAX_TIMEOUT_FACTOR, Math.max(1, known / FAST_GOSSIP_PEERS)),
   });
   // Peers are reachable only inside the platform's network, which gives its
   // processes no shared secret.
@@ -126,11 +126,12 @@
 
   const registry = createMemberRegistry({
     decode: options.members.decode,
-    onListed: (records) => membership.mergeDoubtful(records).forEach(notePeer),
-    onJoined: (record) => membership.merge([record]).forEach(notePeer),
+    onSnapshot: (records) =>
+      membership.mergeDoubtful(records).forEach(recordPeer),
+    onJoined: (record) => membership.merge([record]).forEach(recordPeer),
   });
 
-  function noteMembersLost(reason: string): void {
+  function recordMembersLost(reason: string): void {
     log.record("dependency_lost", { dependency: "members", reason });
   }
 
@@ -141,12 +142,12 @@
       signal,
       store: options.members,
       self,
-      onFault: noteMembersLost,
-    }).catch((error) => noteMembersLost(String(error)));
+      onFault: recordMembersLost,
+    }).catch((error) => recordMembersLost(String(error)));
   }
 
-  async function publishAgain(signal: AbortSignal): Promise<void> {
-    await clock.sleep(ANNOUNCE_SPREAD * random(), signal);
+  async function republish(signal: AbortSignal): Promise<void> {
+    await clock.sleep(REPUBLISH_JITTER * random(), signal);
     if (!signal.aborted) await publishSelf(signal);
   }
 
@@ -162,7 +163,7 @@
       beat: () => {
         const views = membership.list();
         metrics.setKnown("peers", views.length);
-        options.notePeerVersion(readNewestVersion(views));
+        options.recordPeerVersion(readNewestVersion(views));
         membership.beat({
           inFlight: options.countInFlight(),
           configVersion: options.readConfigVersion(),
@@ -185,8 +186,8 @@
       noteLimitNews: options.limits.takeNews,
       readPoisonNews: options.quarantine.readNews,
       notePoisonNews: options.quarantine.takeNews,
-      onIntroduced: notePeer,
-      onHeartbeat: notePeer,
+      onIntroduced: recordPeer,
+      onHeartbeat: recordPeer,
       onReply: () => Promise.resolve(),
       onUnanswered: () => metrics.countUnanswered(),
       checkListening: options.checkListening,
@@ -196,7 +197,9 @@
   }
 
   /** Logs changes only: heartbeats come many times a second. */
-  function notePeer({ entry, incarnation, state, controlAddress }: PeerRecord) {
+  function recordPeer(
+    { entry, incarnation, state, controlAddress }: PeerRecord,
+  ) {
     const now = `${incarnation} ${state}`;
     if (peerStates.get(entry) === now) return;
     peerStates.set(entry, now);
@@ -212,7 +215,7 @@
     membership,
     peers,
     registry,
-    publishAgain,
+    republish,
     start,
     chooseEntries(limit) {
       // Its record says so only with the next heartbeat.
--- a/packages/serving/src/peer_reader.ts
+++ b/packages/serving/src/peer_reader.ts
@@ -1,10 +1,9 @@
 /**
- * Reads a topic at other entries: at the parents of this entry, and at any other
- * where those tell nothing young.
+ * Reads a topic from other entries: from the parents of this entry, and from any
+ * other entry if the parents have no fresh data.
  *
- * An entry that is asked tells how old its own knowledge is, and is passed over
- * when that is too old, when it is silent, or when it does not know what was
- * asked for.
+ * A reply states how old the peer's data is. A peer is skipped if its data is too
+ * old, if it does not answer, or if it does not have the requested records.
  *
  * @module
  */
@@ -12,104 +11,119 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import { createFallbackPeers } from "./fallback_peers.ts";
 import { createPeerPenalties } from "./peer_penalties.ts";
-import type { ReadingWatch } from "./reading_watch.ts";
+import type { ReadTracker } from "./reading_watch.ts";
 import type { KeyedReading, TopicPosition } from "./serving_handles.ts";
-import type { TopicPace } from "./topic_pace.ts";
+import type { TopicTiming } from "./topic_pace.ts";
 
 /** Options of {@linkcode createPeerReader}. */
 export interface PeerReaderOptions {
   clock: Clock;
   random: () => number;
   topic: TopicName;
-  /** Undefined if the entry does not answer. */
+  /** Resolves to undefined if the entry does not answer. */
   ask: (
     address: string,
     question: TopicQuestion,
   ) => Promise<TopicNews | undefined>;
-  pace: Pick<TopicPace, "confirmWait" | "maxAge">;
-  readings: Pick<ReadingWatch, "begin">;
+  timing: Pick<TopicTiming, "confirmWait" | "maxAge">;
+  reads: Pick<ReadTracker, "begin">;
 }
 
-/** What a peer has told. */
-export interface PeerReading {
+/** The result of a read from a peer. */
+export interface PeerReadResult {
   address: string;
-  reading: KeyedReading;
-  /** When the store confirmed it, by this entry's clock. */
+  result: KeyedReading;
+  /** When the store last confirmed the data, by this entry's clock. */
   confirmedAt: Millis;
 }
 
-/** Reads at peers; a reading is undefined if none was of use. */
+/** Reads from peers; a read resolves to undefined if no peer was usable. */
 export interface PeerReader {
-  /** Asks the first that is usable, and others for what they know already. */
+  /**
+   * Asks the first usable parent, and if that fails, others for the data that
+   * they have already.
+   */
   readAtParents(
     parents: readonly string[],
     question: { from: TopicPosition; wait: Millis },
-  ): Promise<PeerReading | undefined>;
-  /** Asks some of all others, for what they know already. */
-  findYounger(
+  ): Promise<PeerReadResult | undefined>;
+  /**
+   * Asks a sample of all other entries for the data that they have already, and
+   * returns it if it is fresher than this entry's.
+   */
+  findFresher(
     from: TopicPosition,
     listOthers: () => readonly string[],
-  ): Promise<PeerReading | undefined>;
-  /** The peer that a search has found, while it stands in for parents. */
-  readFound(): string | undefined;
-  /** Notes when the store confirmed what this entry has read. */
-  noteConfirmed(at: Millis): void;
+  ): Promise<PeerReadResult | undefined>;
+  /** Returns the peer that a search found, as long as it replaces the parents. */
+  readFallback(): string | undefined;
+  /** Records when the store confirmed the data that this entry has read. */
+  recordConfirmed(at: Millis): void;
 }
 
-/** Asked for one reading: the first, and others when it is of no use. */
-const MAX_ASKED = 3;
+/** Parents asked for one read: the first, and others if it is not usable. */
+const MAX_PARENTS_ASKED = 3;
 
 /**
- * An answer without news is worth a message only so often, also while the store
- * is slow and nobody knows anything young: seven a second for each asker.
+ * Lower bound of the long-poll wait, also while the store is slow and no peer has
+ * fresh data. It limits each requester to about seven requests a second.
  */
-const SHORTEST_QUESTION: Millis = 100;
+const MIN_WAIT: Millis = 100;
 
-/** Half of the time between two confirmations: the store has spoken since. */
-const CLEARLY_YOUNGER: Millis = 300;
-/** Three times the age of a configuration's news is near the limit for keys. */
-const OLDEST_FACTOR = 3;
+/**
+ * Data that was confirmed this much later is from a newer response of the store.
+ * Half of the time between two confirmations.
+ */
+const MIN_FRESHNESS_GAIN: Millis = 300;
+/**
+ * Stale data is never used beyond this multiple of the age limit. For the
+ * configuration, that is close to the age limit for keys.
+ */
+const MAX_AGE_FACTOR = 3;
 
 /**
- * Others are searched from this share of the limit on: until then an entry's own
- * knowledge serves, and others have hardly any younger.
+ * The search for other peers starts when the data's age reaches this share of the
+ * limit. Until then the entry's own data is good enough, and others hardly have
+ * any fresher.
  */
 const SEARCH_AGE_SHARE = 0.7;
-/** The others that were asked together are waited for this long after the first. */
-const GATHERING: Millis = 20;
+/** Further replies of peers asked together are awaited this long after the first. */
+const REPLY_WINDOW: Millis = 20;
 
 /** Creates the reader of one topic. */
 export function createPeerReader(
-  { clock, random, topic, ask, pace, readings }: PeerReaderOptions,
+  { clock, random, topic, ask, timing, reads }: PeerReaderOptions,
 ): PeerReader {
   const penalties = createPeerPenalties(clock);
   const fallback = createFallbackPeers({ clock, random });
-  /** When the store confirmed what this entry has read last. */
+  /** When the store confirmed the data that this entry read last. */
   let confirmedAt: Millis | undefined;
 
   function isSearchDue(): boolean {
     return confirmedAt === undefined ||
-      clock.now() - confirmedAt > SEARCH_AGE_SHARE * pace.maxAge;
+      clock.now() - confirmedAt > SEARCH_AGE_SHARE * timing.maxAge;
   }
 
   /**
-   * Of a slow store nobody knows anything young: what is clearly younger than
-   * the last reading helps then. One that is cut off tells the same each time.
+   * Whether data confirmed at this time is usable. While the store is slow, no
+   * peer has fresh data, so data clearly fresher than this entry's is accepted
+   * too. A peer that has lost the store returns the same data each time, which
+   * does not pass.
    */
-  function isOfUse(newlyConfirmedAt: Millis): boolean {
+  function isFreshEnough(newlyConfirmedAt: Millis): boolean {
     const age = clock.now() - newlyConfirmedAt;
-    if (age <= pace.maxAge) return true;
-    return confirmedAt !== undefined && age <= OLDEST_FACTOR * pace.maxAge &&
-      newlyConfirmedAt - confirmedAt >= CLEARLY_YOUNGER;
+    if (age <= timing.maxAge) return true;
+    return confirmedAt !== undefined && age <= MAX_AGE_FACTOR * timing.maxAge &&
+      newlyConfirmedAt - confirmedAt >= MIN_FRESHNESS_GAIN;
   }
 
-  /** Undefined if the entry's answer is of no use. */
-  async function askPeer(
+  /** Resolves to undefined if the peer's reply is not usable. */
+  async function requestFromPeer(
     address: string,
     question: Omit<TopicQuestion, "topic">,
-  ): Promise<PeerReading | undefined> {
+  ): Promise<PeerReadResult | undefined> {
     const askedAt = clock.now();
-    const end = readings.begin("peer", address);
+    const end = reads.begin("peer", address);
     const news = await ask(address, { topic, ...question });
     if (news === undefined) {
       penalties.note(address, "silent");
@@ -117,10 +131,10 @@
     }
     if (news.kind === "unknown") return void end("unknown");
     const { records, next, age, kind } = news;
-    if (!isOfUse(askedAt - age)) return void end("old");
+    if (!isFreshEnough(askedAt - age)) return void end("old");
     end("read");
     penalties.clear(address);
-    const reading: KeyedReading = {
+    const result: KeyedReading = {
       records: records.map(({ key, value, offset }) => ({
         key,
         value,
@@ -130,93 +144,102 @@
       isNewest: kind === "newest",
       isRelayed: true,
     };
-    return { address, reading, confirmedAt: askedAt - age };
+    return { address, result, confirmedAt: askedAt - age };
   }
 
-  /** Not of one that is asked in a search, which is paced itself. */
-  function noteUseless(parent: string): void {
+  /** Not called for peers asked in a search, which has its own back-off. */
+  function recordUnusable(parent: string): void {
     if (penalties.isUsable(parent)) penalties.note(parent, "old");
   }
 
   async function readAtParents(
     parents: readonly string[],
     { from, wait }: { from: TopicPosition; wait: Millis },
-  ): Promise<PeerReading | undefined> {
-    const usable = parents.filter(penalties.isUsable).slice(0, MAX_ASKED);
+  ): Promise<PeerReadResult | undefined> {
+    const usable = parents.filter(penalties.isUsable).slice(
+      0,
+      MAX_PARENTS_ASKED,
+    );
     const [first, ...others] = usable;
     if (first === undefined) return undefined;
-    const reading = await askPeer(first, { from, ...computeWaits(wait) });
-    if (reading !== undefined) return reading;
-    // Time was lost already: the others are asked together, for what they know.
-    const found = await askTogether(others, from);
-    usable.filter((parent) => parent !== found?.address).forEach(noteUseless);
+    const result = await requestFromPeer(first, {
+      from,
+      ...computeWaits(wait),
+    });
+    if (result !== undefined) return result;
+    // Time was lost already: the others are asked concurrently and without a wait.
+    const found = await requestConcurrently(others, from);
+    usable.filter((parent) => parent !== found?.address).forEach(
+      recordUnusable,
+    );
     return found;
   }
 
   /**
-   * The youngest of those that answer about as fast as the first; one that is
-   * silent does not hold it up.
+   * Asks peers concurrently and resolves to the freshest of the replies that come
+   * shortly after the first one; a peer that does not answer causes no delay.
    */
-  async function askTogether(
+  async function requestConcurrently(
     addresses: readonly string[],
     from: TopicPosition,
-  ): Promise<PeerReading | undefined> {
+  ): Promise<PeerReadResult | undefined> {
     const question = { from, wait: 0, confirmWait: 0 };
-    const answered: PeerReading[] = [];
+    const answered: PeerReadResult[] = [];
     const asked = addresses.map(async (address) => {
-      const reading = await askPeer(address, question);
-      if (reading === undefined) throw new Error(`${address} is of no use`);
-      answered.push(reading);
+      const result = await requestFromPeer(address, question);
+      if (result === undefined) throw new Error(`${address} is not usable`);
+      answered.push(result);
     });
     const isAny = await Promise.any(asked).then(() => true, () => false);
     if (!isAny) return undefined;
-    await Promise.race([Promise.allSettled(asked), clock.sleep(GATHERING)]);
+    await Promise.race([Promise.allSettled(asked), clock.sleep(REPLY_WINDOW)]);
     return answered.reduce((youngest, other) =>
       other.confirmedAt > youngest.confirmedAt ? other : youngest
     );
   }
 
-  async function findYounger(
+  async function findFresher(
     from: TopicPosition,
     listOthers: () => readonly string[],
-  ): Promise<PeerReading | undefined> {
+  ): Promise<PeerReadResult | undefined> {
     if (!isSearchDue()) return undefined;
-    const searched = fallback.chooseSearched(() =>
+    const searched = fallback.chooseCandidates(() =>
       listOthers().filter(penalties.isUsable)
     );
     if (searched.length === 0) return undefined;
-    const found = await askTogether(searched, from);
-    // Others that the store turns away know no more than this entry.
+    const found = await requestConcurrently(searched, from);
+    // Peers that the store does not serve either have nothing fresher.
     const isYounger = found !== undefined &&
       found.confirmedAt > (confirmedAt ?? -Infinity);
     if (!isYounger) {
-      fallback.noteNotFound();
+      fallback.recordNotFound();
       return undefined;
     }
-    fallback.noteFound(found.address);
+    fallback.recordFound(found.address);
     return found;
   }
 
   /**
-   * A reader that the store has turned away answers without news when the waits
-   * are over, and then its word is too old. What is known here must not have
-   * grown older than the limit by so much before the store itself is asked.
+   * Limits the waits of a request by the age of this entry's data. A reader that
+   * has lost the store replies without updates when the waits are over, and its
+   * data is then too old. This entry must ask the store itself before its own
+   * data has exceeded the limit by that time.
    */
   function computeWaits(wait: Millis) {
     if (wait === 0) return { wait, confirmWait: 0 };
     const ownAge = confirmedAt === undefined ? 0 : clock.now() - confirmedAt;
-    const left = Math.max(SHORTEST_QUESTION, pace.maxAge - ownAge);
+    const left = Math.max(MIN_WAIT, timing.maxAge - ownAge);
     const limited = Math.min(wait, left);
     return {
       wait: limited,
-      confirmWait: Math.min(pace.confirmWait, left - limited),
+      confirmWait: Math.min(timing.confirmWait, left - limited),
     };
   }
 
   return {
     readAtParents,
-    findYounger,
-    readFound: fallback.readKept,
-    noteConfirmed: (at) => confirmedAt = at,
+    findFresher,
+    readFallback: fallback.readPreferred,
+    recordConfirmed: (at) => confirmedAt = at,
   };
 }
--- a/packages/serving/src/reading_watch.ts
+++ b/packages/serving/src/reading_watch.ts
@@ -9,10 +9,10 @@
 import type { DecisionFields } from "./decision_log.ts";
 
 /** Where a topic is read. */
-export type ReadingSource = "store" | "peer";
+export type ReadSource = "store" | "peer";
 
 /** How a reading ended. */
-export type ReadingOutcome =
+export type ReadOutcome =
   | "read"
   /** The records asked for are gone. */
   | "expired"
@@ -26,39 +26,39 @@
   | "silent";
 
 /** Notes how a reading ended. */
-export type EndReading = (outcome: ReadingOutcome) => void;
+export type EndRead = (outcome: ReadOutcome) => void;
 
 /** The readings of one topic. */
-export interface ReadingWatch {
+export interface ReadTracker {
   /** Notes a reading that begins, at the peer with this address if at one. */
-  begin(source: ReadingSource, address?: string): EndReading;
+  begin(source: ReadSource, address?: string): EndRead;
   /** The reading that takes longest by now, and the one that ended last. */
   describe(): DecisionFields;
 }
 
-/** Options of {@linkcode createReadingWatch}. */
-export interface ReadingWatchOptions {
+/** Options of {@linkcode createReadTracker}. */
+export interface ReadTrackerOptions {
   clock: Clock;
-  onEnd: (source: ReadingSource, outcome: ReadingOutcome) => void;
+  onEnd: (source: ReadSource, outcome: ReadOutcome) => void;
 }
 
-interface Reading {
+interface ReadInProgress {
   /** Source and address. */
   at: string;
   startedAt: Millis;
 }
 
 /** Creates the watch of a topic that was never read. */
-export function createReadingWatch(
-  { clock, onEnd }: ReadingWatchOptions,
-): ReadingWatch {
+export function createReadTracker(
+  { clock, onEnd }: ReadTrackerOptions,
+): ReadTracker {
   /** In the order in which they began. */
-  const inProgress = new Set<Reading>();
+  const inProgress = new Set<ReadInProgress>();
   let last: DecisionFields = {};
 
-  function begin(source: ReadingSource, address?: string): EndReading {
+  function begin(source: ReadSource, address?: string): EndRead {
     const at = address === undefined ? source : `${source} ${address}`;
-    const reading: Reading = { at, startedAt: clock.now() };
+    const reading: ReadInProgress = { at, startedAt: clock.now() };
     inProgress.add(reading);
     return (outcome) => {
       inProgress.delete(reading);
--- a/packages/serving/src/reading_watch_test.ts
+++ b/packages/serving/src/reading_watch_test.ts
@@ -1,12 +1,12 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createReadingWatch } from "./reading_watch.ts";
+import { createReadTracker } from "./reading_watch.ts";
 
 describe("watch of a topic's readings", () => {
   it("tells the longest reading in progress and the last that ended", async () => {
     const clock = createFakeClock(0);
     const ended: string[] = [];
-    const watch = createReadingWatch({
+    const watch = createReadTracker({
       clock,
       onEnd: (source, outcome) => ended.push(`${source} ${outcome}`),
     });
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -34,7 +34,7 @@
 import { createEndpointCheck } from "./endpoint_check.ts";
 import { createEndpointLoads } from "./endpoint_load.ts";
 import { createSignalNotes } from "./endpoint_signals.ts";
-import { createPeerNews } from "./peer_news.ts";
+import { createPeerGossip } from "./peer_news.ts";
 import { createPieceRouter } from "./piece_router.ts";
 import { createPoolParts } from "./pool_parts.ts";
 import { createQuarantineNews } from "./quarantine_news.ts";
@@ -43,10 +43,13 @@
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingEntryOptions } from "./serving_options.ts";
 import type { ServingState } from "./serving_state.ts";
-import { createSharedSource } from "./shared_source.ts";
-import { createSiteKnowledge } from "./site_knowledge.ts";
-import { answerTopics, createTopicAsker } from "./topic_asker.ts";
-import { TOPIC_PACES } from "./topic_pace.ts";
+import { createRelayedSource } from "./shared_source.ts";
+import { createSiteState } from "./site_knowledge.ts";
+import {
+  createTopicRequestBatcher,
+  handleTopicRequests,
+} from "./topic_asker.ts";
+import { TOPIC_TIMINGS } from "./topic_pace.ts";
 import { chooseTopicParents } from "./topic_readers.ts";
 
 /** A running entry. */
@@ -66,18 +69,18 @@
 }
 
 /** Callers keep an answer for three seconds at most, then none comes here. */
-const LEAVE_TIME: Millis = 3_200;
+const LEAVE_DELAY: Millis = 3_200;
 /**
  * This long before the kill what is in progress is given up, with an answer: one
  * whose connection just ends does not know whether it may come again.
  */
-const STOP_MARGIN: Millis = 800;
+const SHUTDOWN_MARGIN: Millis = 800;
 /** The answers take this long at most, on an instance short of processor. */
-const ANSWER_TIME: Millis = 500;
+const REPLY_FLUSH_TIMEOUT: Millis = 500;
 /** Entries that are told at once when this one leaves. */
-const PEERS_TOLD = 10;
+const MAX_NOTIFIED_PEERS = 10;
 /** Until the first configuration is known. */
-const FIRST_LIMITS: RequestLimits = {
+const DEFAULT_LIMITS: RequestLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
   headerTimeout: 3_000,
@@ -115,7 +118,7 @@
   let phase: ListenerPhase = "open";
 
   const loads = createEndpointLoads(clock);
-  const knowledge = createSiteKnowledge({
+  const siteState = createSiteState({
     clock,
     readWallTime,
     random,
@@ -123,48 +126,48 @@
     logger,
     metrics,
     platform,
-    shareSource: (topic, source, readings) =>
-      createSharedSource({
+    createRelayedSource: (topic, source, reads) =>
+      createRelayedSource({
         clock,
         random,
         topic,
         source,
-        pace: TOPIC_PACES[topic],
-        readings,
+        timing: TOPIC_TIMINGS[topic],
+        reads,
         chooseParents: () => chooseTopicParents(membership),
-        ask: (address, question) => topicAsker.ask(address, question),
+        ask: (address, question) => topicRequests.request(address, question),
       }),
     onConfig: ({ limits }) => listener.applyLimits(limits),
     onEndpoints: () => pools.refreshFeeders(),
     onRestored() {
       if (phase !== "open") return;
-      void news.publishAgain(signal);
+      void gossip.republish(signal);
       quarantineNews.publishAgain();
     },
     members: {
       replaceAll(records) {
-        news.registry.replaceAll(records);
+        gossip.registry.replaceAll(records);
         quarantineNews.takeRecords(records);
       },
       apply(record) {
-        news.registry.apply(record);
+        gossip.registry.apply(record);
         quarantineNews.takeRecords([record]);
       },
     },
   });
-  const { configAge, directory, readTable } = knowledge;
+  const { configAge, directory, readTable } = siteState;
   const freshness = createConfigFreshness({
     clock,
     random,
     log,
     metrics,
-    knowledge,
+    siteState,
   });
   const { isBehindPeers, readVersion } = freshness;
 
   function isServing(): boolean {
     return phase === "open" && readTable() !== undefined &&
-      knowledge.hasEndpoints() && configAge.read() <= settings.maxKeyAge &&
+      siteState.hasEndpoints() && configAge.read() <= settings.maxKeyAge &&
       !isBehindPeers();
   }
 
@@ -178,7 +181,7 @@
     return isServing() ? "live" : "unready";
   }
 
-  const news = createPeerNews({
+  const gossip = createPeerGossip({
     clock,
     readWallTime,
     random,
@@ -192,7 +195,7 @@
     readState,
     countInFlight: () => tasks.size,
     readConfigVersion: readVersion,
-    notePeerVersion: freshness.notePeerVersion,
+    recordPeerVersion: freshness.recordPeerVersion,
     limits: {
       chooseNews: (count) => limits.chooseNews(count),
       takeNews: (limitNews) => limits.takeNews(limitNews),
@@ -202,8 +205,8 @@
       takeNews: (poison) => quarantineNews.takeNews(poison),
     },
   });
-  const { membership, peers } = news;
-  const topicAsker = createTopicAsker({
+  const { membership, peers } = gossip;
+  const topicRequests = createTopicRequestBatcher({
     clock,
     send: async (address, questions) => {
       const reply = await peers.readTopics(address, questions);
@@ -232,7 +235,7 @@
   });
   /** Those that left send nothing more; those that are silent may. */
   function listSenders(): string[] | undefined {
-    if (!knowledge.hasMembers()) return undefined;
+    if (!siteState.hasMembers()) return undefined;
     const others = membership.list()
       .filter(({ record }) => record.state !== "leaving")
       .map(({ record }) => record.entry);
@@ -244,19 +247,19 @@
     random,
     entry: settings.entry,
     listMembers: () =>
-      knowledge.hasMembers() ? listSendingMembers(membership) : undefined,
+      siteState.hasMembers() ? listSendingMembers(membership) : undefined,
     directory,
     isFed: (pool) => readTable()?.findPool(pool)?.batching !== undefined,
     cold: createColdAllowance({
       clock,
       entry: settings.entry,
       listEntries: listSenders,
-      isCold: knowledge.isCold,
-      readNewsAge: knowledge.readEndpointAge,
+      isCold: siteState.isCold,
+      readNewsAge: siteState.readEndpointAge,
       readRate: (pool) => readTable()?.findPool(pool)?.coldRate ?? 0,
     }),
   });
-  const { listAt } = knowledge;
+  const { listAt } = siteState;
   const noteSignals = createSignalNotes({
     log,
     metrics,
@@ -293,7 +296,7 @@
     findFeeder,
     listUsable: directory.listUsable,
     readPlace: (result) =>
-      knowledge.findPlace(platform.stages.readMaker(result)),
+      siteState.findPlace(platform.stages.readMaker(result)),
   });
 
   const state: ServingState = {
@@ -310,7 +313,7 @@
     loads,
     sendAllowance: allowance,
     noteSignals,
-    noteUnreachable: knowledge.noteUnreachable,
+    noteUnreachable: siteState.recordUnreachable,
     router,
     callEndpoint: platform.callEndpoint,
     runWatch: createRunWatch({
@@ -321,7 +324,7 @@
       news: quarantineNews,
     }),
     readMaker: platform.stages.readMaker,
-    findPlace: knowledge.findPlace,
+    findPlace: siteState.findPlace,
     findBudget: pools.findBudget,
     findDelays: pools.findDelays,
     findEngineChoice: pools.findEngineChoice,
@@ -336,7 +339,7 @@
     decodeHead: platform.decodeHead,
     encodeFailure: platform.encodeFailure,
     serve: (served) => serveRequest(state, served),
-    readLimits: () => readTable()?.config.limits ?? FIRST_LIMITS,
+    readLimits: () => readTable()?.config.limits ?? DEFAULT_LIMITS,
     readPhase: () => phase,
     onRefused: (failure, id) => {
       metrics.countRequest("none", "request_refused");
@@ -350,7 +353,7 @@
     },
   });
 
-  const exchange = news.start(signal);
+  const exchange = gossip.start(signal);
   const control = await startServer(
     createServingPeerListener({
       isPeer: () => true,
@@ -358,8 +361,9 @@
         exchange: (message) => exchange.answer(message),
         runPieces: (run, stop) => runForPeer(run, stop),
         reportRuns: quarantineNews.answer,
-        readConfig: () => knowledge.readPublished() ?? null,
-        readTopics: (questions) => answerTopics(knowledge.relays, questions),
+        readConfig: () => siteState.readPublished() ?? null,
+        readTopics: (questions) =>
+          handleTopicRequests(siteState.relays, questions),
         readWaits: ({ pool, partition, priority }) =>
           findFeeder(pool, partition).readWaits(priority),
         releaseResults: ({ pool, partition, results }) =>
@@ -375,7 +379,7 @@
     return reply;
   }
 
-  knowledge.follow(signal).catch((error) =>
+  siteState.follow(signal).catch((error) =>
     logger.error("Following the platform's store has ended.", {
       error: String(error),
     })
@@ -404,17 +408,21 @@
     phase = "leaving";
     log.record("process_stopping", { inProgress: tasks.size });
     membership.beat({ state: "leaving" });
-    void exchange.tellPeers(PEERS_TOLD);
+    void exchange.tellPeers(MAX_NOTIFIED_PEERS);
     void platform.members.withdraw(membership.self);
-    await clock.sleep(LEAVE_TIME);
+    await clock.sleep(LEAVE_DELAY);
     phase = "refusing";
     controller.abort();
     listener.server.closeIdleConnections();
-    const left = settings.stopTime - STOP_MARGIN - (clock.now() - startedAt);
+    const left = settings.stopTime - SHUTDOWN_MARGIN -
+      (clock.now() - startedAt);
     await Promise.race([finishWork(), clock.sleep(left)]);
     const cutOff = tasks.size;
     shutdown.abort();
-    await Promise.race([tasks.waitUntilEmpty(), clock.sleep(ANSWER_TIME)]);
+    await Promise.race([
+      tasks.waitUntilEmpty(),
+      clock.sleep(REPLY_FLUSH_TIMEOUT),
+    ]);
     log.record("process_stopped", { cutOff });
   }
 
@@ -434,7 +442,7 @@
 
   return {
     isReady: isServing,
-    chooseEntries: news.chooseEntries,
+    chooseEntries: gossip.chooseEntries,
     metricsListener: (_request, response) => {
       metrics.registry.metrics().then(
         (text) => response.end(text),
--- a/packages/serving/src/shared_source.ts
+++ b/packages/serving/src/shared_source.ts
@@ -1,139 +1,170 @@
 /**
- * A keyed topic as most entries read it: from another entry that knows it
- * already, and from the store itself where that does not do.
+ * Reads a keyed topic through other entries, and falls back to the store.
  *
- * What it saves is calls to the store, which grow with the fleet otherwise. What
- * it must not cost is fresh knowledge. An entry that the store turns away, also
- * one that reads for others, hears from those that the store answers.
+ * Most entries read from a peer, so the number of calls to the store does not
+ * grow with the number of entries. The data must stay as fresh as if every
+ * entry read the store: an entry that the store does not serve, even one that
+ * reads on behalf of others, reads from the entries that the store does serve.
  *
  * @module
  */
 import type { TopicName } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import { Result } from "true-myth";
-import type { PeerReaderOptions, PeerReading } from "./peer_reader.ts";
+import type { PeerReaderOptions, PeerReadResult } from "./peer_reader.ts";
 import { createPeerReader } from "./peer_reader.ts";
-import type { ReadingWatch } from "./reading_watch.ts";
+import type { ReadTracker } from "./reading_watch.ts";
 import type {
   KeyedFault,
   KeyedReading,
   KeyedSource,
   TopicPosition,
 } from "./serving_handles.ts";
-import { createStoreAccess } from "./store_access.ts";
-import type { TopicPace } from "./topic_pace.ts";
+import { createStoreHealth } from "./store_access.ts";
+import type { TopicTiming } from "./topic_pace.ts";
 import type { TopicParents } from "./topic_readers.ts";
 
-/** A topic that entries read at each other. */
-export interface SharedSource extends KeyedSource {
-  /** Whether others may read here: not at a reader that has lost the store. */
-  mayPassOn(): boolean;
+/** A topic source that entries share. */
+export interface RelayedSource extends KeyedSource {
+  /**
+   * Whether peers may read from this entry; false for a store reader that
+   * cannot reach the store.
+   */
+  mayRelay(): boolean;
 }
 
-/** Options of {@linkcode createSharedSource}. */
-export interface SharedSourceOptions {
+/** Options of {@linkcode createRelayedSource}. */
+export interface RelayedSourceOptions {
   clock: Clock;
   random: () => number;
   topic: TopicName;
   /** The store. */
   source: KeyedSource;
-  /** Whom this entry asks before the store. */
+  /** Returns the entries to read from before the store. */
   chooseParents: () => TopicParents;
-  /** Undefined if the entry does not answer. */
+  /** Resolves to undefined if the entry does not answer. */
   ask: PeerReaderOptions["ask"];
-  pace: Pick<TopicPace, "relayWait" | "confirmWait" | "maxAge">;
-  /** Told of each reading, at the store and at other entries. */
-  readings: Pick<ReadingWatch, "begin">;
+  timing: Pick<TopicTiming, "relayWait" | "confirmWait" | "maxAge">;
+  /** Tracks every read, from the store and from other entries. */
+  reads: Pick<ReadTracker, "begin">;
 }
 
-/** However slow the store is, a reader does not call it without any wait. */
-const SHORTEST_WAIT_SHARE = 0.25;
 /**
- * A store that takes so much longer than its wait has turned a reader away, or
- * is too slow to be read for others.
+ * The wait of a store read is never cut below this share, however slow the
+ * store is.
  */
-const READER_PATIENCE: Millis = 200;
-/** Asked without a wait and silent for this long: peers may know. */
-const STRAY_PATIENCE: Millis = 100;
-/** A turn at the store that is due within this is waited for. */
-const NEAR_TURN: Millis = 350;
-/** Pause between two calls of a store that does not answer. */
-const LOST_PAUSE: Millis = 500;
+const MIN_WAIT_SHARE = 0.25;
+/**
+ * A store read that exceeds its expected duration by this much counts as
+ * failed: the store does not serve this reader, or is too slow to be read for
+ * others.
+ */
+const READER_GRACE: Millis = 200;
+/**
+ * Peers are asked if a store read without a wait has not returned after this.
+ */
+const PEER_FALLBACK_DELAY: Millis = 100;
+/** A store read that is due within this time is waited for. */
+const MAX_DUE_WAIT: Millis = 350;
+/** Minimum pause between two calls to a store that does not answer. */
+const UNREACHABLE_STORE_PAUSE: Millis = 500;
 
-/** Creates the source of one topic. */
-export function createSharedSource(
-  { clock, random, topic, source, chooseParents, ask, pace, readings }:
-    SharedSourceOptions,
-): SharedSource {
-  const peers = createPeerReader({ clock, random, topic, ask, pace, readings });
-  const access = createStoreAccess(clock, random);
-  /** What the store took last besides the wait. */
+/** Creates the shared source of one topic. */
+export function createRelayedSource(
+  {
+    clock,
+    random,
+    topic,
+    source,
+    chooseParents,
+    ask,
+    timing,
+    reads,
+  }: RelayedSourceOptions,
+): RelayedSource {
+  const peers = createPeerReader({
+    clock,
+    random,
+    topic,
+    ask,
+    timing,
+    reads,
+  });
+  const storeHealth = createStoreHealth(clock, random);
+  /** How much longer than the wait the last store read took. */
   let storeDelay: Millis = 0;
-  /** When this entry may read the store itself, while nobody is of use. */
-  let storeTurn: Millis | undefined;
-  /** Whether it reads for others, by its last look at who lives. */
-  let isReaderNow = false;
+  /** When this entry may read the store itself while no peer is usable. */
+  let nextStoreReadAt: Millis | undefined;
+  /** Whether this entry was a store reader at its last read. */
+  let wasReader = false;
 
-  /** Whether enough time has passed since this entry last read the store. */
-  function takeStoreTurn(storePause: Millis): boolean {
+  /** Returns whether a store read is due, and schedules the next one if so. */
+  function reserveStoreRead(storePause: Millis): boolean {
     const now = clock.now();
-    const pause = access.isLost()
-      ? Math.max(LOST_PAUSE, storePause)
+    const pause = storeHealth.isUnreachable()
+      ? Math.max(UNREACHABLE_STORE_PAUSE, storePause)
       : storePause;
-    // The first turn is spread too: a whole place may have lost its relays.
-    storeTurn ??= now + random() * pause / 2;
-    if (now < storeTurn) return false;
-    storeTurn = now + pause * (0.5 + random());
+    // The first read is jittered too: a whole place may have lost its relays at
+    // once.
+    nextStoreReadAt ??= now + random() * pause / 2;
+    if (now < nextStoreReadAt) return false;
+    nextStoreReadAt = now + pause * (0.5 + random());
     return true;
   }
 
-  /** The pauses after failures grow; a turn that is near is not missed for it. */
-  async function waitForTurn(): Promise<void> {
-    const left = (storeTurn ?? Infinity) - clock.now();
-    if (left <= NEAR_TURN) await clock.sleep(left);
+  /**
+   * Sleeps until a store read that is almost due, which the caller's back-off
+   * could otherwise miss.
+   */
+  async function waitForStoreRead(): Promise<void> {
+    const left = (nextStoreReadAt ?? Infinity) - clock.now();
+    if (left <= MAX_DUE_WAIT) await clock.sleep(left);
   }
 
-  async function watchReading(
+  async function trackStoreRead(
     read: () => Promise<Result<KeyedReading, KeyedFault>>,
   ) {
-    const end = readings.begin("store");
+    const end = reads.begin("store");
     const askedAt = clock.now();
-    const reading = await read();
-    end(reading.isOk ? "read" : reading.error);
-    if (reading.isOk) peers.noteConfirmed(askedAt);
-    return reading;
+    const result = await read();
+    end(result.isOk ? "read" : result.error);
+    if (result.isOk) peers.recordConfirmed(askedAt);
+    return result;
   }
 
   async function callStore(from: TopicPosition, wait: Millis) {
-    const reading = await watchReading(() => source.readFrom(from, wait));
-    if (isAnswered(reading)) access.noteAnswered();
-    else access.noteLost();
-    return reading;
+    const result = await trackStoreRead(() => source.readFrom(from, wait));
+    if (isStoreResponse(result)) storeHealth.recordSuccess();
+    else storeHealth.recordFailure();
+    return result;
   }
 
   /**
-   * A slow store takes its time besides the wait. The wait is shorter by that, or
-   * everybody's knowledge would be older by it.
+   * Reads the store with a wait that is shortened by the store's response
+   * delay. Otherwise a slow store would make the data of all entries older by
+   * that delay.
    */
-  async function waitAtStore(from: TopicPosition, wait: Millis) {
+  async function pollStore(from: TopicPosition, wait: Millis) {
     const shortened = Math.round(
-      Math.max(SHORTEST_WAIT_SHARE * wait, wait - storeDelay),
+      Math.max(MIN_WAIT_SHARE * wait, wait - storeDelay),
     );
     const askedAt = clock.now();
-    const reading = await callStore(from, shortened);
-    if (reading.isErr) return reading;
+    const result = await callStore(from, shortened);
+    if (result.isErr) return result;
     const took = clock.now() - askedAt;
-    const isWaitOver = reading.value.records.length === 0;
-    // One that does not wait is not fast: longer waits would not slow it down.
-    if (isWaitOver || wait === 0) storeDelay = Math.max(0, took - shortened);
-    if (!isWaitOver) return reading;
-    // A record that came during the wait would have ended it.
+    const isEmpty = result.value.records.length === 0;
+    // A store that returns before the wait is over does not honour the wait; a
+    // longer wait would not slow it down, so the delay is never negative.
+    if (isEmpty || wait === 0) storeDelay = Math.max(0, took - shortened);
+    if (!isEmpty) return result;
+    // A record written during the wait would have ended it, so the result is as
+    // fresh as the end of the wait.
     const age = took < shortened ? 0 : -shortened;
-    peers.noteConfirmed(askedAt - age);
-    return Result.ok<KeyedReading, KeyedFault>({ ...reading.value, age });
+    peers.recordConfirmed(askedAt - age);
+    return Result.ok<KeyedReading, KeyedFault>({ ...result.value, age });
   }
 
-  /** Undefined if there is no result in time. */
+  /** Resolves to undefined if there is no result within the limit. */
   async function waitAtMost<T>(
     result: Promise<T>,
     limit: Millis,
@@ -145,35 +176,38 @@
     return first;
   }
 
-  /** `startedAt`: when the reading began, which may have asked others first. */
-  function takeRelayed(
-    { reading, confirmedAt }: PeerReading,
+  /**
+   * Converts a peer's result; its age counts from `startedAt`, when the whole
+   * read began, which may have asked other peers first.
+   */
+  function acceptPeerResult(
+    { result, confirmedAt }: PeerReadResult,
     startedAt: Millis,
   ): Result<KeyedReading, KeyedFault> {
-    peers.noteConfirmed(confirmedAt);
-    return Result.ok({ ...reading, age: startedAt - confirmedAt });
+    peers.recordConfirmed(confirmedAt);
+    return Result.ok({ ...result, age: startedAt - confirmedAt });
   }
 
   /**
-   * An entry that the store has turned away without a word hears from its peers
-   * before its call is given up.
+   * Waits for a store read, and reads from peers if it is slow. An entry that
+   * gets no response from the store thus has data before its call times out.
    */
-  async function waitBesidePeers(
+  async function readStoreOrPeers(
     stored: Promise<Result<KeyedReading, KeyedFault>>,
-    { from, patience, parents, startedAt }: {
+    { from, timeout, parents, startedAt }: {
       from: TopicPosition;
-      patience: Millis;
+      timeout: Millis;
       parents: TopicParents;
       startedAt: Millis;
     },
   ): Promise<Result<KeyedReading, KeyedFault>> {
-    for (let limit = patience;; limit = STRAY_PATIENCE) {
+    for (let limit = timeout;; limit = PEER_FALLBACK_DELAY) {
       const outcome = await waitAtMost(stored, limit);
-      if (outcome !== undefined && isAnswered(outcome)) return outcome;
+      if (outcome !== undefined && isStoreResponse(outcome)) return outcome;
       const relayed =
         await peers.readAtParents(parents.addresses, { from, wait: 0 }) ??
-          await peers.findYounger(from, parents.listOthers);
-      if (relayed !== undefined) return takeRelayed(relayed, startedAt);
+          await peers.findFresher(from, parents.listOthers);
+      if (relayed !== undefined) return acceptPeerResult(relayed, startedAt);
       if (outcome !== undefined) return outcome;
     }
   }
@@ -183,32 +217,40 @@
     { storeWait, parents }: { storeWait: Millis; parents: TopicParents },
   ): Promise<Result<KeyedReading, KeyedFault>> {
     const startedAt = clock.now();
-    // One that is slow as it was before has not turned this entry away.
-    const patience = storeWait + storeDelay + READER_PATIENCE;
-    const stored = waitAtStore(from, storeWait);
-    const cancel = clock.startTimer(patience, access.noteLost);
+    // A store that is as slow as at the last read is not taken for unreachable.
+    const timeout = storeWait + storeDelay + READER_GRACE;
+    const stored = pollStore(from, storeWait);
+    const cancel = clock.startTimer(timeout, storeHealth.recordFailure);
     void stored.then(cancel, cancel);
-    return await waitBesidePeers(stored, {
+    return await readStoreOrPeers(stored, {
       from,
-      patience,
+      timeout,
       parents,
       startedAt,
     });
   }
 
-  /** The store's answer is as young as the call, not as the reading. */
-  async function callStoreLater(
+  /**
+   * Reads the store late in a read; the age counts from this call, not from
+   * `startedAt`.
+   */
+  async function callStoreAsFallback(
     from: TopicPosition,
     startedAt: Millis,
   ): Promise<Result<KeyedReading, KeyedFault>> {
     const calledAt = clock.now();
-    const reading = await callStore(from, 0);
-    return reading.map((value) => ({ ...value, age: startedAt - calledAt }));
+    const result = await callStore(from, 0);
+    return result.map((value) => ({ ...value, age: startedAt - calledAt }));
   }
 
-  /** Only an entry that has lost the store reads on at what a search found. */
-  function listAsked({ addresses }: TopicParents): readonly string[] {
-    const found = access.isLost() ? peers.readFound() : undefined;
+  /**
+   * A peer found by a search comes first, but only while the store is
+   * unreachable.
+   */
+  function listCandidates({ addresses }: TopicParents): readonly string[] {
+    const found = storeHealth.isUnreachable()
+      ? peers.readFallback()
+      : undefined;
     return found === undefined ? addresses : [found, ...addresses];
   }
 
@@ -217,42 +259,48 @@
     storeWait: Millis,
   ): Promise<Result<KeyedReading, KeyedFault>> {
     const parents = chooseParents();
-    isReaderNow = parents.isReader;
-    if (parents.isReader && !access.isLost()) {
+    wasReader = parents.isReader;
+    if (parents.isReader && !storeHealth.isUnreachable()) {
       return await readAsReader(from, { storeWait, parents });
     }
-    // Beside the reading, which it would hold up for a second.
-    if (parents.isReader && access.takeProbe()) void callStore(from, 0);
+    // Not awaited: the probe could delay the read by a second.
+    if (parents.isReader && storeHealth.reserveProbe()) void callStore(from, 0);
     const startedAt = clock.now();
-    const question = { from, wait: pace.relayWait };
-    const relayed = await peers.readAtParents(listAsked(parents), question);
+    const question = { from, wait: timing.relayWait };
+    const relayed = await peers.readAtParents(
+      listCandidates(parents),
+      question,
+    );
     if (relayed !== undefined) {
-      storeTurn = undefined;
-      return takeRelayed(relayed, startedAt);
+      nextStoreReadAt = undefined;
+      return acceptPeerResult(relayed, startedAt);
     }
-    if (takeStoreTurn(parents.storePause)) {
-      return await waitBesidePeers(callStoreLater(from, startedAt), {
+    if (reserveStoreRead(parents.storePause)) {
+      return await readStoreOrPeers(callStoreAsFallback(from, startedAt), {
         from,
-        patience: STRAY_PATIENCE,
+        timeout: PEER_FALLBACK_DELAY,
         parents,
         startedAt,
       });
     }
-    const found = await peers.findYounger(from, parents.listOthers);
-    if (found !== undefined) return takeRelayed(found, startedAt);
-    await waitForTurn();
+    const found = await peers.findFresher(from, parents.listOthers);
+    if (found !== undefined) return acceptPeerResult(found, startedAt);
+    await waitForStoreRead();
     return Result.err("unavailable");
   }
 
   return {
-    readNewest: () => watchReading(() => source.readNewest()),
+    readNewest: () => trackStoreRead(() => source.readNewest()),
     readFrom,
-    // Who took its word for the store's would not read the store for others.
-    mayPassOn: () => !(isReaderNow && access.isLost()),
+    // A peer that took this entry's stale data for the store's would not read
+    // the store itself.
+    mayRelay: () => !(wasReader && storeHealth.isUnreachable()),
   };
 }
 
-/** Whether the store has spoken, if only to say that the records are gone. */
-function isAnswered(reading: Result<KeyedReading, KeyedFault>): boolean {
-  return reading.isOk || reading.error === "expired";
+/**
+ * Whether the store responded, even if only to say that the records are gone.
+ */
+function isStoreResponse(result: Result<KeyedReading, KeyedFault>): boolean {
+  return result.isOk || result.error === "expired";
 }
--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/shared_source_test.ts
@@ -4,8 +4,8 @@
 import { Result } from "true-myth";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { KeyedReading } from "./serving_handles.ts";
-import { createSharedSource } from "./shared_source.ts";
-import { createReadingWatch } from "./reading_watch.ts";
+import { createRelayedSource } from "./shared_source.ts";
+import { createReadTracker } from "./reading_watch.ts";
 import { createPosition } from "./test_support.ts";
 
 const NEWS: TopicNews = {
@@ -41,7 +41,7 @@
     const waits: Millis[] = [];
     const asked: string[] = [];
     const questions: TopicQuestion[] = [];
-    const source = createSharedSource({
+    const source = createRelayedSource({
       clock,
       random: () => 0.5,
       topic: "config",
@@ -69,8 +69,8 @@
         if (answer === undefined && silence > 0) await clock.sleep(silence);
         return answer;
       },
-      pace: { relayWait: 400, confirmWait: 0, maxAge: 1_000 },
-      readings: createReadingWatch({ clock, onEnd: () => {} }),
+      timing: { relayWait: 400, confirmWait: 0, maxAge: 1_000 },
+      reads: createReadTracker({ clock, onEnd: () => {} }),
     });
     return {
       source,
@@ -165,7 +165,7 @@
     for (let reading = 0; reading < 3; reading++) {
       const reply = read(0);
       await clock.advance(349);
-      passesOn.push(source.mayPassOn());
+      passesOn.push(source.mayRelay());
       await clock.advance(1);
       await reply;
     }
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_knowledge.ts
@@ -25,20 +25,20 @@
 import type { TopicName } from "@mangoreach/peers";
 import type { Clock, Logger, Millis } from "@mangoreach/shared";
 import type { DecisionFields, DecisionLog } from "./decision_log.ts";
-import type { KeyedSink } from "./keyed_follower.ts";
-import { followKeyedTopic } from "./keyed_follower.ts";
+import type { TopicSink } from "./keyed_follower.ts";
+import { followTopic } from "./keyed_follower.ts";
 import type { MemberRegistry } from "./member_registry.ts";
-import type { ReadingWatch } from "./reading_watch.ts";
-import { createReadingWatch } from "./reading_watch.ts";
+import type { ReadTracker } from "./reading_watch.ts";
+import { createReadTracker } from "./reading_watch.ts";
 import type { KeyedRecord, KeyedSource } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
-import { TOPIC_PACES } from "./topic_pace.ts";
+import { TOPIC_TIMINGS } from "./topic_pace.ts";
 import type { ReadableSource, TopicRelay } from "./topic_relay.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
-/** Options of {@linkcode createSiteKnowledge}. */
-export interface SiteKnowledgeOptions {
+/** Options of {@linkcode createSiteState}. */
+export interface SiteStateOptions {
   clock: Clock;
   /** The time of day; counts on while a process is suspended. */
   readWallTime: () => Millis;
@@ -48,10 +48,10 @@
   metrics: ServingMetrics;
   platform: ServingPlatform;
   /** Lets entries share what they read of a topic. */
-  shareSource: (
+  createRelayedSource: (
     topic: TopicName,
     source: KeyedSource,
-    readings: ReadingWatch,
+    reads: ReadTracker,
   ) => ReadableSource;
   /** Told of each configuration that comes into force. */
   onConfig: (config: ServingConfig) => void;
@@ -64,13 +64,13 @@
 }
 
 /** What an entry knows of its site. */
-export interface SiteKnowledge {
+export interface SiteState {
   /** The configuration in force; undefined before the first. */
   readTable(): RouteTable | undefined;
   /** The same as it was published. */
   readPublished(): string | undefined;
   /** Takes what a peer has in force, if it is newer. */
-  takePublished(value: string): void;
+  applyPublished(value: string): void;
   readonly configAge: KnowledgeAge;
   readonly directory: EndpointDirectory;
   /** Whether an endpoint is cold, or may be. */
@@ -78,7 +78,7 @@
   /** How long ago the store confirmed what is known of endpoints. */
   readEndpointAge(): Millis;
   /** Notes that nothing listened at an endpoint's address. */
-  noteUnreachable(endpoint: EndpointInfo): void;
+  recordUnreachable(endpoint: EndpointInfo): void;
   /** The place of the endpoint at an address. */
   findPlace(address: string): string | undefined;
   /** All endpoints that may be listening at an address. */
@@ -86,7 +86,7 @@
   /** Passes topics on to other entries. */
   readonly relays: Readonly<Record<TopicName, TopicRelay>>;
   /** How the configuration is read just now. */
-  describeConfigReading(): DecisionFields;
+  describeConfigReads(): DecisionFields;
   /** Whether endpoints were read at least once. */
   hasEndpoints(): boolean;
   /** Whether the records of entries were read at least once. */
@@ -96,21 +96,21 @@
 }
 
 /** Entries lapsed in an outage come back within two seconds. */
-const RETURN_GRACE: Millis = 1_800;
+const RECOVERY_GRACE: Millis = 1_800;
 /** A guess that an endpoint has left is believed this long without confirmation. */
-const MARK_LIFETIME: Millis = 4_000;
+const LEAVING_MARK_TTL: Millis = 4_000;
 
 /** Lines about records that cannot be read, at most. */
-const MAX_UNREADABLE = 200;
+const MAX_UNDECODABLE = 200;
 
 function readValue({ value }: KeyedRecord): string {
   return value ?? "";
 }
 
 /** Creates the knowledge of an entry that has read nothing yet. */
-export function createSiteKnowledge(
-  options: SiteKnowledgeOptions,
-): SiteKnowledge {
+export function createSiteState(
+  options: SiteStateOptions,
+): SiteState {
   const { clock, readWallTime, random, log, logger, metrics, platform } =
     options;
   const { onConfig, onEndpoints } = options;
@@ -121,10 +121,10 @@
   /** Endpoints by their address, which may become another's. */
   let byAddress: ReadonlyMap<string, readonly EndpointInfo[]> = new Map();
   /** Keys whose records could not be read. */
-  const unreadable = new Set<string>();
+  const undecodable = new Set<string>();
   const configAge = createKnowledgeAge({ clock, readWallTime });
   const endpointAge = createKnowledgeAge({ clock, readWallTime });
-  const readings: Record<TopicName, ReadingWatch> = {
+  const reads: Record<TopicName, ReadTracker> = {
     config: createWatch("config"),
     endpoints: createWatch("endpoints"),
     members: createWatch("members"),
@@ -139,8 +139,8 @@
     members: createRelay("members", platform.members.source, readValue),
   };
 
-  function createWatch(topic: TopicName): ReadingWatch {
-    return createReadingWatch({
+  function createWatch(topic: TopicName): ReadTracker {
+    return createReadTracker({
       clock,
       onEnd: (source, outcome) => metrics.countReading(topic, source, outcome),
     });
@@ -153,7 +153,7 @@
   ): TopicRelay {
     return createTopicRelay({
       clock,
-      source: options.shareSource(topic, source, readings[topic]),
+      source: options.createRelayedSource(topic, source, reads[topic]),
       age: createKnowledgeAge({ clock, readWallTime }),
       readContent,
     });
@@ -181,13 +181,13 @@
 
   const directory = createEndpointDirectory({
     clock,
-    markLifetime: MARK_LIFETIME,
+    markLifetime: LEAVING_MARK_TTL,
     isEvacuated: evacuation.isEvacuated,
   });
 
   const roster: EndpointRoster = createEndpointRoster({
     clock,
-    returnGrace: RETURN_GRACE,
+    returnGrace: RECOVERY_GRACE,
     onChange(endpoints) {
       byAddress = createAddressIndex(endpoints);
       directory.replaceAll(endpoints);
@@ -196,7 +196,7 @@
     },
   });
 
-  function takeConfig(value: string, source: "store" | "peer"): void {
+  function applyConfig(value: string, source: "store" | "peer"): void {
     const decoded = platform.decodeConfig(value);
     if (decoded.isErr) {
       return log.record("config_rejected", { reason: decoded.error });
@@ -218,28 +218,28 @@
     });
   }
 
-  const configSink: KeyedSink = {
-    noteRestored() {
+  const configSink: TopicSink = {
+    handleRestored() {
       evacuation.noteRestored();
-      noteRestored("config");
+      recordRestored("config");
     },
     replaceAll(records) {
-      records.forEach(takeConfigRecord);
+      records.forEach(applyConfigRecord);
       evacuation.replaceAll(
         records.filter(({ value }) => value !== undefined)
           .flatMap(({ key }) => platform.readEvacuatedPlace(key) ?? []),
       );
     },
     apply(record) {
-      takeConfigRecord(record);
-      takeEvacuation(record);
+      applyConfigRecord(record);
+      applyEvacuation(record);
     },
-    noteConfirmed: configAge.noteConfirmed,
-    noteAway: () => noteDependency("lost", "config"),
-    noteBack: () => noteDependency("regained", "config"),
+    recordConfirmed: configAge.noteConfirmed,
+    handleUnavailable: () => recordDependency("lost", "config"),
+    handleAvailable: () => recordDependency("regained", "config"),
   };
 
-  function noteRestored(topic: TopicName): void {
+  function recordRestored(topic: TopicName): void {
     log.record("store_restored", {
       topic,
       configVersion: table?.config.version,
@@ -247,19 +247,19 @@
     });
   }
 
-  function takeConfigRecord({ key, value }: KeyedRecord): void {
+  function applyConfigRecord({ key, value }: KeyedRecord): void {
     if (key !== platform.configKey || value === undefined) return;
-    takeConfig(value, "store");
+    applyConfig(value, "store");
   }
 
-  function takeEvacuation({ key, value }: KeyedRecord): void {
+  function applyEvacuation({ key, value }: KeyedRecord): void {
     const place = platform.readEvacuatedPlace(key);
     if (place === undefined) return;
     if (value === undefined) evacuation.takeBack(place);
     else evacuation.markEvacuated(place);
   }
 
-  function noteDependency(change: "lost" | "regained", name: string): void {
+  function recordDependency(change: "lost" | "regained", name: string): void {
     log.record(`dependency_${change}`, {
       dependency: name,
       configAge: configAge.read(),
@@ -267,14 +267,14 @@
     });
   }
 
-  const endpointSink: KeyedSink = {
-    noteRestored() {
+  const endpointSink: TopicSink = {
+    handleRestored() {
       roster.noteRestored();
-      noteRestored("endpoints");
+      recordRestored("endpoints");
     },
     replaceAll(records) {
       const endpoints = records.flatMap(readEndpoint);
-      endpoints.forEach(noteCold);
+      endpoints.forEach(recordCold);
       roster.replaceAll(endpoints);
       isEndpointsKnown = true;
     },
@@ -292,20 +292,20 @@
       // The newest word under its id names nothing that can be used.
       else roster.remove(record.key);
     },
-    noteConfirmed: endpointAge.noteConfirmed,
-    noteAway() {
+    recordConfirmed: endpointAge.noteConfirmed,
+    handleUnavailable() {
       roster.noteAway();
-      noteDependency("lost", "instance_list");
+      recordDependency("lost", "instance_list");
     },
-    noteBack() {
+    handleAvailable() {
       roster.noteBack();
-      noteDependency("regained", "instance_list");
+      recordDependency("regained", "instance_list");
     },
   };
 
-  const memberSink: KeyedSink = {
-    noteRestored() {
-      noteRestored("members");
+  const memberSink: TopicSink = {
+    handleRestored() {
+      recordRestored("members");
       options.onRestored();
     },
     replaceAll(records) {
@@ -313,13 +313,13 @@
       isMembersKnown = true;
     },
     apply: options.members.apply,
-    noteConfirmed: () => {},
-    noteAway: () => noteDependency("lost", "members"),
-    noteBack: () => noteDependency("regained", "members"),
+    recordConfirmed: () => {},
+    handleUnavailable: () => recordDependency("lost", "members"),
+    handleAvailable: () => recordDependency("regained", "members"),
   };
 
   function putEndpoint(endpoint: EndpointInfo): void {
-    noteCold(endpoint);
+    recordCold(endpoint);
     if (!roster.put(endpoint)) return;
     log.record("endpoint_changed", {
       endpoint: endpoint.id,
@@ -331,7 +331,7 @@
     });
   }
 
-  function noteCold(endpoint: EndpointInfo): void {
+  function recordCold(endpoint: EndpointInfo): void {
     if (!cold.note(endpoint)) return;
     log.record("endpoint_changed", {
       endpoint: endpoint.id,
@@ -347,14 +347,14 @@
     if (record.value === undefined) return [];
     const decoded = platform.decodeEndpoint(record);
     if (decoded.isOk) return [decoded.value];
-    noteUnreadable(record.key, decoded.error);
+    recordUndecodable(record.key, decoded.error);
     return [];
   }
 
   /** Others write there too, again and again: one line for each key. */
-  function noteUnreadable(key: string, reason: string): void {
-    if (unreadable.has(key) || unreadable.size >= MAX_UNREADABLE) return;
-    unreadable.add(key);
+  function recordUndecodable(key: string, reason: string): void {
+    if (undecodable.has(key) || undecodable.size >= MAX_UNDECODABLE) return;
+    undecodable.add(key);
     logger.warn("An endpoint's record cannot be read.", {
       endpoint: key,
       reason,
@@ -362,22 +362,22 @@
   }
 
   async function follow(signal: AbortSignal): Promise<void> {
-    const sinks: Record<TopicName, KeyedSink> = {
+    const sinks: Record<TopicName, TopicSink> = {
       config: configSink,
       endpoints: endpointSink,
       members: memberSink,
     };
     const topics = Object.keys(sinks) as TopicName[];
     await Promise.all(topics.map((topic) =>
-      followKeyedTopic({
+      followTopic({
         clock,
         random,
         signal,
         source: relays[topic].source,
         sink: sinks[topic],
         readTime: configAge.readTime,
-        wait: TOPIC_PACES[topic].wait,
-        pause: TOPIC_PACES[topic].pause,
+        wait: TOPIC_TIMINGS[topic].wait,
+        pause: TOPIC_TIMINGS[topic].pause,
       })
     ));
   }
@@ -389,17 +389,17 @@
   return {
     readTable: () => table,
     readPublished: () => published,
-    takePublished: (value) => takeConfig(value, "peer"),
+    applyPublished: (value) => applyConfig(value, "peer"),
     configAge,
     directory,
     isCold: (endpoint) =>
       cold.isCold(endpoint) || evacuation.isReturning(endpoint.place),
     readEndpointAge: endpointAge.read,
-    noteUnreachable: cold.noteUnreachable,
+    recordUnreachable: cold.noteUnreachable,
     findPlace: (address) => listAt(address).at(-1)?.place,
     listAt,
     relays,
-    describeConfigReading: () => readings.config.describe(),
+    describeConfigReads: () => reads.config.describe(),
     hasEndpoints: () => isEndpointsKnown,
     hasMembers: () => isMembersKnown,
     follow,
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_knowledge_test.ts
@@ -7,7 +7,7 @@
 import type { KeyedReading, KeyedRecord } from "./serving_handles.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
-import { createSiteKnowledge } from "./site_knowledge.ts";
+import { createSiteState } from "./site_knowledge.ts";
 import { createPosition, createTestEndpoint } from "./test_support.ts";
 
 /** Readings of the endpoints' topic, one after the other. */
@@ -49,7 +49,7 @@
       decodeEndpoint,
       members: { source: createSource([]) },
     } as unknown as ServingPlatform;
-    const knowledge = createSiteKnowledge({
+    const knowledge = createSiteState({
       clock,
       readWallTime: clock.now,
       random: () => 0.5,
@@ -57,7 +57,7 @@
       logger,
       metrics: createServingMetrics("entry"),
       platform,
-      shareSource: (_topic, source) => source,
+      createRelayedSource: (_topic, source) => source,
       onConfig: () => {},
       onEndpoints: () => {},
       members: { replaceAll: () => {}, apply: () => {} },
--- a/packages/serving/src/store_access.ts
+++ b/packages/serving/src/store_access.ts
@@ -1,51 +1,51 @@
 /**
- * Whether the store answers this entry, and when to try it again.
+ * Tracks whether the store answers this entry, and when to probe it again.
  *
- * The load it answers: the store turns away an entry that reads for others. Each
- * reading would wait for the store first and grow old meanwhile, so the entry
- * asks its peers instead and tries the store beside them.
+ * If the store does not serve an entry that reads for others, each read would
+ * wait for the store first and its data would go stale meanwhile. The entry reads
+ * from its peers instead and probes the store in the background.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** What is known of the way to the store. */
-export interface StoreAccess {
+/** Tracks the reachability of the store. */
+export interface StoreHealth {
   /** Whether the last call failed or took too long. */
-  isLost(): boolean;
-  noteAnswered(): void;
-  noteLost(): void;
-  /** Whether to try the store now; true once for each interval. */
-  takeProbe(): boolean;
+  isUnreachable(): boolean;
+  recordSuccess(): void;
+  recordFailure(): void;
+  /** Returns whether to probe the store now; true once in each interval. */
+  reserveProbe(): boolean;
 }
 
-/** Entries that were turned away together try again apart from each other. */
+/** Jittered, so that entries that lost the store together do not retry together. */
 const PROBE_INTERVAL: Millis = 1_000;
 
-/** Creates the access of an entry that has not called the store yet. */
-export function createStoreAccess(
+/** Creates the tracker of an entry that has not called the store yet. */
+export function createStoreHealth(
   clock: Clock,
   random: () => number,
-): StoreAccess {
-  let isLost = false;
-  let probeAt: Millis = -Infinity;
+): StoreHealth {
+  let isUnreachable = false;
+  let nextProbeAt: Millis = -Infinity;
 
-  function spreadProbe(): void {
-    probeAt = clock.now() + PROBE_INTERVAL * (0.5 + random());
+  function scheduleProbe(): void {
+    nextProbeAt = clock.now() + PROBE_INTERVAL * (0.5 + random());
   }
 
   return {
-    isLost: () => isLost,
-    noteAnswered() {
-      isLost = false;
+    isUnreachable: () => isUnreachable,
+    recordSuccess() {
+      isUnreachable = false;
     },
-    noteLost() {
-      if (!isLost) spreadProbe();
-      isLost = true;
+    recordFailure() {
+      if (!isUnreachable) scheduleProbe();
+      isUnreachable = true;
     },
-    takeProbe() {
-      if (!isLost || clock.now() < probeAt) return false;
-      spreadProbe();
+    reserveProbe() {
+      if (!isUnreachable || clock.now() < nextProbeAt) return false;
+      scheduleProbe();
       return true;
     },
   };
--- a/packages/serving/src/store_access_test.ts
+++ b/packages/serving/src/store_access_test.ts
@@ -1,23 +1,29 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createStoreAccess } from "./store_access.ts";
+import { createStoreHealth } from "./store_access.ts";
 
 describe("access to the store", () => {
   it("tries a lost store once a second until it answers", async () => {
     const clock = createFakeClock(0);
-    const access = createStoreAccess(clock, () => 0.5);
-    expect([access.isLost(), access.takeProbe()]).to.deep.equal([false, false]);
-    access.noteLost();
+    const access = createStoreHealth(clock, () => 0.5);
+    expect([access.isUnreachable(), access.reserveProbe()]).to.deep.equal([
+      false,
+      false,
+    ]);
+    access.recordFailure();
     const probedAt: number[] = [];
     while (clock.now() < 3_500) {
-      if (access.takeProbe()) probedAt.push(clock.now());
+      if (access.reserveProbe()) probedAt.push(clock.now());
       // Other calls that fail do not put it off.
-      access.noteLost();
+      access.recordFailure();
       await clock.advance(100);
     }
     expect(probedAt).to.deep.equal([1_000, 2_000, 3_000]);
-    access.noteAnswered();
+    access.recordSuccess();
     await clock.advance(1_000);
-    expect([access.isLost(), access.takeProbe()]).to.deep.equal([false, false]);
+    expect([access.isUnreachable(), access.reserveProbe()]).to.deep.equal([
+      false,
+      false,
+    ]);
   });
 });
--- a/packages/serving/src/topic_asker.ts
+++ b/packages/serving/src/topic_asker.ts
@@ -1,9 +1,9 @@
 /**
- * Asks another entry about several topics in one message.
+ * Batches requests for several topics to one entry into one message.
  *
- * An entry at rest does little else than ask for news of each topic, hundreds of
- * entries at a time. Questions that wait together are answered together, so the
- * next ones come together again, and three topics cost what one does.
+ * An idle entry does little but poll each topic, and there may be hundreds of
+ * entries. Requests that wait in one message are answered together, so the next
+ * ones are sent together again, and three topics cost as much as one.
  *
  * @module
  */
@@ -11,75 +11,78 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { TopicRelay } from "./topic_relay.ts";
 
-/** Options of {@linkcode createTopicAsker}. */
-export interface TopicAskerOptions {
+/** Options of {@linkcode createTopicRequestBatcher}. */
+export interface TopicRequestBatcherOptions {
   clock: Clock;
-  /** Answers in the order of the questions; undefined if there is no answer. */
+  /**
+   * Resolves to the replies in the order of the questions, or to undefined if the
+   * entry does not answer.
+   */
   send: (
     address: string,
     questions: readonly TopicQuestion[],
   ) => Promise<readonly TopicNews[] | undefined>;
 }
 
-/** Asks other entries. */
-export interface TopicAsker {
-  /** Undefined if the entry does not answer. */
-  ask(
+/** Sends topic requests to other entries. */
+export interface TopicRequestBatcher {
+  /** Resolves to undefined if the entry does not answer. */
+  request(
     address: string,
     question: TopicQuestion,
   ): Promise<TopicNews | undefined>;
 }
 
-/** Followers that were answered together ask again within so long. */
-const GATHERING: Millis = 30;
+/** Followers that got their replies together ask again within this time. */
+const BATCH_WINDOW: Millis = 30;
 
-interface PendingQuestion {
+interface PendingRequest {
   question: TopicQuestion;
   resolve: (news: TopicNews | undefined) => void;
 }
 
-/** Creates an asker with no question yet. */
-export function createTopicAsker(
-  { clock, send }: TopicAskerOptions,
-): TopicAsker {
-  const gathered = new Map<string, PendingQuestion[]>();
+/** Creates the request batcher of one entry. */
+export function createTopicRequestBatcher(
+  { clock, send }: TopicRequestBatcherOptions,
+): TopicRequestBatcher {
+  const batches = new Map<string, PendingRequest[]>();
 
-  async function sendGathered(address: string): Promise<void> {
-    const pending = gathered.get(address) ?? [];
-    gathered.delete(address);
+  async function sendBatch(address: string): Promise<void> {
+    const pending = batches.get(address) ?? [];
+    batches.delete(address);
     const news = await send(address, pending.map(({ question }) => question));
     pending.forEach(({ resolve }, index) => resolve(news?.[index]));
   }
 
-  function addQuestion(
+  function enqueueRequest(
     address: string,
     question: TopicQuestion,
   ): Promise<TopicNews | undefined> {
     return new Promise((resolve) => {
-      const pending = gathered.get(address);
+      const pending = batches.get(address);
       if (pending !== undefined) {
         pending.push({ question, resolve });
         return;
       }
-      gathered.set(address, [{ question, resolve }]);
-      clock.startTimer(GATHERING, () => void sendGathered(address));
+      batches.set(address, [{ question, resolve }]);
+      clock.startTimer(BATCH_WINDOW, () => void sendBatch(address));
     });
   }
 
-  async function ask(
+  async function request(
     address: string,
     question: TopicQuestion,
   ): Promise<TopicNews | undefined> {
-    // Whoever does not wait has lost time already.
-    if (question.wait > 0) return await addQuestion(address, question);
+    // A request without a wait is a retry that has lost time already.
+    if (question.wait > 0) return await enqueueRequest(address, question);
     return (await send(address, [question]))?.[0];
   }
 
-  return { ask };
+  return { request };
 }
 
-/** Answers all questions as soon as one of them has its answer. */
-export async function answerTopics(
+/** Answers all questions as soon as the first of them is answered. */
+export async function handleTopicRequests(
   relays: Readonly<Record<TopicName, Pick<TopicRelay, "answer">>>,
   questions: readonly TopicQuestion[],
 ): Promise<TopicNews[]> {
--- a/packages/serving/src/topic_asker_test.ts
+++ b/packages/serving/src/topic_asker_test.ts
@@ -3,7 +3,10 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { createPosition } from "./test_support.ts";
-import { answerTopics, createTopicAsker } from "./topic_asker.ts";
+import {
+  createTopicRequestBatcher,
+  handleTopicRequests,
+} from "./topic_asker.ts";
 
 const NEWS: TopicNews = {
   kind: "records",
@@ -23,7 +26,7 @@
   function create(answer?: readonly TopicNews[]) {
     const clock = createFakeClock(0);
     const sent: string[] = [];
-    const asker = createTopicAsker({
+    const asker = createTopicRequestBatcher({
       clock,
       send: (address, questions) => {
         const topics = questions.map(({ topic }) => topic).join("+");
@@ -38,10 +41,10 @@
   // took more processor than all requests.
   it("sends what is asked of one entry together", async () => {
     const { clock, sent, asker } = create([NEWS, { kind: "unknown" }]);
-    const first = asker.ask("a", createQuestion("config", 300));
+    const first = asker.request("a", createQuestion("config", 300));
     await clock.advance(20);
-    const second = asker.ask("a", createQuestion("endpoints", 600));
-    const other = asker.ask("b", createQuestion("members", 600));
+    const second = asker.request("a", createQuestion("endpoints", 600));
+    const other = asker.request("b", createQuestion("members", 600));
     await clock.advance(40);
     expect(sent).to.deep.equal(["a config+endpoints", "b members"]);
     expect(await first).to.deep.equal(NEWS);
@@ -52,7 +55,7 @@
   // The entry that was asked first is silent; a key may have been taken away.
   it("does not let a question wait that must not", async () => {
     const { sent, asker } = create();
-    expect(await asker.ask("a", createQuestion("config", 0))).to.equal(
+    expect(await asker.request("a", createQuestion("config", 0))).to.equal(
       undefined,
     );
     expect(sent).to.deep.equal(["a config"]);
@@ -73,7 +76,7 @@
       members: createRelay(waits.members),
     };
     let answered: Millis | undefined;
-    const answers = answerTopics(relays, [
+    const answers = handleTopicRequests(relays, [
       createQuestion("config", 500),
       createQuestion("endpoints", 200),
       createQuestion("members", 3_000),
--- a/packages/serving/src/topic_pace.ts
+++ b/packages/serving/src/topic_pace.ts
@@ -1,32 +1,35 @@
 /**
- * How often each topic of the platform's store is read, and how old what an entry
- * tells of it may be.
+ * How often each topic of the platform's store is polled, and how stale the
+ * data that a peer returns may be.
  *
  * @module
  */
 import type { TopicName } from "@mangoreach/peers";
 import type { Millis } from "@mangoreach/shared";
 
-/** How one topic is followed. */
-export interface TopicPace {
-  /** A reading of the store waits this long for a change. */
+/** Polling settings of one topic. */
+export interface TopicTiming {
+  /** Long-poll wait of a read from the store. */
   wait: Millis;
-  /** Pause between two readings of the store. */
+  /** Pause between two reads from the store. */
   pause: Millis;
-  /** Another entry without news answers after this. */
+  /** Long-poll wait of a read from another entry. */
   relayWait: Millis;
-  /** So much longer it may wait until its knowledge is confirmed anew. */
+  /**
+   * Extra time that the other entry may wait for its data to be confirmed
+   * again.
+   */
   confirmWait: Millis;
-  /** Another entry that knows nothing younger is of no use. */
+  /** Data of another entry that is older than this is not used. */
   maxAge: Millis;
 }
 
-/** The pace of each topic. */
-export const TOPIC_PACES: Readonly<Record<TopicName, TopicPace>> = {
+/** The polling settings of each topic. */
+export const TOPIC_TIMINGS: Readonly<Record<TopicName, TopicTiming>> = {
   /**
-   * Read by long polls, so a change is known at once. The wait bounds the age of
-   * keys; what is too old must be noticed within the time in which a
-   * configuration has to be in force, 2 s at the least.
+   * Read by long polls, so a change is known at once. The wait bounds the age
+   * of keys; stale data must be detected within the time in which a
+   * configuration has to be in force, which is at least 2 s.
    */
   config: {
     wait: 600,
@@ -36,9 +39,10 @@
     maxAge: 1_100,
   },
   /**
-   * Endpoints write their heartbeats all the time; a pause gathers them. One that
-   * leaves must get nothing 2 s later, also where the entry that would tell has
-   * just died: it is given up 1 s after it was asked.
+   * Endpoints write heartbeats all the time; the pause batches them. An
+   * endpoint that leaves must get no requests 2 s later, even if the parent of
+   * an entry has just died: a request to the parent is therefore given up after
+   * 1 s.
    */
   endpoints: {
     wait: 0,
@@ -47,7 +51,10 @@
     confirmWait: 400,
     maxAge: 1_200,
   },
-  /** Entries come and go seldom; who lives is told by heartbeats. */
+  /**
+   * Entries rarely start or stop; heartbeats between peers tell which are
+   * alive.
+   */
   members: {
     wait: 3_000,
     pause: 300,
--- a/packages/serving/src/topic_readers.ts
+++ b/packages/serving/src/topic_readers.ts
@@ -1,10 +1,11 @@
 /**
- * Which entries read the platform's store, and whom all others ask instead.
+ * Chooses which entries read the platform's store, and which entries all others
+ * read from instead.
  *
- * The load it answers: hundreds of entries that start together, or that a slow
- * store leaves waiting together. A tree keeps the calls to the store as many as
- * there are readers, whatever the fleet, and the questions to one entry as many
- * as there are entries beside it.
+ * Hundreds of entries may start together, or wait together on a slow store.
+ * With a relay tree, the number of calls to the store depends only on the
+ * number of readers, and the requests to one entry only on the number of its
+ * children, however many entries there are.
  *
  * @module
  */
@@ -16,41 +17,44 @@
 } from "@mangoreach/coordination";
 import type { Millis } from "@mangoreach/shared";
 
-/** Where an entry reads the topics of the store. */
+/** The entries from which one entry reads the store's topics. */
 export interface TopicParents {
-  /** It reads the store itself, and asks others only if that fails. */
+  /**
+   * Whether this entry reads the store itself, and others only if that fails.
+   */
   isReader: boolean;
-  /** Control addresses of the entries to ask, in order. */
+  /** Control addresses of the entries to read from, in order of preference. */
   addresses: readonly string[];
-  /** Pause between two own readings of the store while no entry is of use. */
+  /** Pause between two reads from the store while no other entry is usable. */
   storePause: Millis;
-  /** Control addresses of all other entries that stay. */
+  /** Control addresses of all other entries that are not leaving. */
   listOthers: () => readonly string[];
 }
 
 /**
- * One of three may be frozen and one cut off from the store, and entries still
- * hear of a change within its bound. A small site does with one: when that
- * ends, its entries ask the store themselves, some forty calls a second of the
- * two thousand that it takes.
+ * With three readers, one may be frozen and one disconnected from the store,
+ * and changes still reach all entries in time. One reader is enough for a small
+ * site: if it stops, the entries read the store themselves, which makes about
+ * 40 calls a second of the 2,000 that the store handles.
  */
-const MOST_READERS = 3;
-const ENTRIES_A_READER = 16;
+const MAX_READERS = 3;
+const ENTRIES_PER_READER = 16;
 /**
- * Entries that one entry passes news on to: some three short messages a second for
- * each, a twentieth of the smallest core for all.
+ * Entries that read from one relay. Each costs it about three short messages a
+ * second; all of them together take 5 % of the smallest core.
  */
-const ENTRIES_A_RELAY = 12;
+const ENTRIES_PER_RELAY = 12;
 /**
- * Readings of the store, a second and topic, of all entries that nobody passes
- * news on to: a hundredth of what the store takes, so that an outage which
- * makes all relays useless does not become the loss of the store.
+ * Reads from the store, per second and topic, by all entries that have no
+ * usable parent. It is a hundredth of what the store handles, so that an outage
+ * of all relays does not overload the store.
  */
-const STRAY_READINGS = 40;
+const FALLBACK_READS_PER_SECOND = 40;
 
 /**
- * Where this entry reads. Entries that disagree for a moment on who lives read
- * at another entry or at the store; nothing breaks.
+ * Chooses where this entry reads. Entries may briefly disagree on which peers
+ * are alive; they then read from another entry or from the store, which is
+ * harmless.
  */
 export function chooseTopicParents(
   { self, list }: Pick<Membership, "self" | "list">,
@@ -61,17 +65,17 @@
     )
     .map(({ record }) => record);
   const members: PeerRecord[] = [self, ...others];
-  const ranked = listRanked(
+  const ranked = rankEntries(
     listStrong(members, ({ capacity }) => capacity),
     "readers",
   );
   const readerCount = Math.min(
-    MOST_READERS,
-    Math.ceil(members.length / ENTRIES_A_READER),
+    MAX_READERS,
+    Math.ceil(members.length / ENTRIES_PER_READER),
   );
   const relayCount = Math.max(
     readerCount,
-    Math.ceil(members.length / ENTRIES_A_RELAY),
+    Math.ceil(members.length / ENTRIES_PER_RELAY),
   );
   const position = ranked.findIndex(({ entry }) => entry === self.entry);
   const relays = ranked.slice(0, relayCount);
@@ -79,25 +83,30 @@
   const isRelay = position >= 0 && position < relayCount;
   return {
     isReader,
-    addresses: listAsked().map(({ controlAddress }) => controlAddress),
-    storePause: isRelay ? 0 : 1_000 * members.length / STRAY_READINGS,
+    addresses: listParents().map(({ controlAddress }) => controlAddress),
+    storePause: isRelay
+      ? 0
+      : 1_000 * members.length / FALLBACK_READS_PER_SECOND,
     listOthers: () => others.map(({ controlAddress }) => controlAddress),
   };
 
-  function listAsked(): PeerRecord[] {
+  function listParents(): PeerRecord[] {
     if (isReader) return relays.filter(({ entry }) => entry !== self.entry);
     if (!isRelay) {
-      return listNearFirst(listRanked(relays, self.entry), self.place);
+      return listNearFirst(rankEntries(relays, self.entry), self.place);
     }
-    // Only who comes before in the order is asked: two relays that waited for
-    // each other would both grow old.
+    // A relay reads only from entries ranked before it: two relays that waited
+    // for each other would both go stale.
     return [
-      ...listRanked(ranked.slice(0, readerCount), self.entry),
+      ...rankEntries(ranked.slice(0, readerCount), self.entry),
       ...ranked.slice(readerCount, position),
     ];
   }
 }
 
-function listRanked(records: readonly PeerRecord[], key: string): PeerRecord[] {
+function rankEntries(
+  records: readonly PeerRecord[],
+  key: string,
+): PeerRecord[] {
   return listByRendezvous(records, { key, readName: ({ entry }) => entry });
 }
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -1,16 +1,16 @@
 /**
- * Passes on to other entries what this one reads of a keyed topic, so that not
- * every entry has to ask the platform's store.
+ * Relays the records of a keyed topic to other entries, so that not every entry
+ * has to read the platform's store.
  *
- * Keeps the store's own offsets: an entry may read on here, at another entry or
- * at the store, and misses nothing.
+ * The offsets are those of the store: an entry can continue reading from this
+ * entry, from another one or from the store, and misses no record.
  *
  * @module
  */
 import type { KnowledgeAge, KnowledgeTime } from "@mangoreach/coordination";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
-import type { SharedSource } from "./shared_source.ts";
+import type { RelayedSource } from "./shared_source.ts";
 import type {
   KeyedReading,
   KeyedRecord,
@@ -18,72 +18,78 @@
   TopicPosition,
 } from "./serving_handles.ts";
 
-/** A source; without `mayPassOn` all that is read there is passed on. */
+/** A topic source; without `mayRelay`, its records are always relayed. */
 export type ReadableSource =
   & KeyedSource
-  & Partial<Pick<SharedSource, "mayPassOn">>;
+  & Partial<Pick<RelayedSource, "mayRelay">>;
 
 /** Options of {@linkcode createTopicRelay}. */
 export interface TopicRelayOptions {
   clock: Clock;
   /** Where this entry reads: the store, or another entry. */
   source: ReadableSource;
-  /** How long ago the store confirmed what is kept here. */
+  /** Tracks how long ago the store confirmed the relayed data. */
   age: KnowledgeAge;
   /**
-   * What a record says, without heartbeats; a record that says the same as the
-   * one before is not passed on.
+   * Returns a record's content without heartbeats. A record with the same content
+   * as the previous one of its key is not relayed.
    */
   readContent: (record: KeyedRecord) => string;
 }
 
-/** A topic as this entry reads it, and passes it on. */
+/** A topic that this entry reads and relays. */
 export interface TopicRelay {
-  /** Where this entry reads; what is read goes to others too. */
+  /** The source for this entry; records that it reads are relayed to others. */
   readonly source: KeyedSource;
   /**
-   * Answers another entry, after a while if there is nothing new yet; at once
-   * when the signal aborts.
+   * Answers another entry. If there is no update, waits as long as the question
+   * says, or until the signal aborts.
    */
-  answer(question: TopicQuestion, signal?: AbortSignal): Promise<TopicNews>;
+  answer(
+    question: TopicQuestion,
+    signal?: AbortSignal,
+  ): Promise<TopicNews>;
 }
 
-interface WaitingAsker {
+interface WaitingRequest {
   from: TopicPosition;
-  /** From then on a confirmation is answer enough. */
-  ripeAt: Millis;
+  /** From this time on, a confirmation without updates is a sufficient answer. */
+  confirmableAt: Millis;
   wake: () => void;
 }
 
-interface KeptRecord extends KeyedRecord {
+interface BufferedChange extends KeyedRecord {
   offset: number;
 }
 
-interface KnownKey {
+interface KnownRecord {
   value: string;
-  /** Undefined for what an older copy holds: its next record is news. */
+  /**
+   * Undefined for a record restored from an older copy of the store: the next
+   * record of its key is relayed whatever its content.
+   */
   content: string | undefined;
 }
 
-/** An entry that has fallen behind by more gets the newest record of each key. */
-const MAX_KEPT = 1_000;
+/** Changes held in memory; an entry that is further behind gets a snapshot. */
+const MAX_BUFFERED_CHANGES = 1_000;
 
 /** Creates a relay that has read nothing yet. */
 export function createTopicRelay(
   { clock, source, age, readContent }: TopicRelayOptions,
 ): TopicRelay {
-  let kept: KeptRecord[] = [];
-  /** Nothing is known here of records before this offset of the present era. */
-  let first = Infinity;
+  let changes: BufferedChange[] = [];
+  /** `changes` is complete from this offset of the current era on. */
+  let firstBuffered = Infinity;
   let next: TopicPosition | undefined;
-  const newest = new Map<string, KnownKey>();
+  const newest = new Map<string, KnownRecord>();
   /** Whether `newest` holds every key of the topic. */
   let isComplete = false;
-  /** Who waits for news, or for this entry to catch up with them. */
-  const waiting = new Set<WaitingAsker>();
+  /** Requests that wait for updates, or for this entry to catch up with them. */
+  const waiting = new Set<WaitingRequest>();
 
-  /** Returns whether the record says something new. */
-  function noteRecord(record: KeyedRecord): boolean {
+  /** Returns whether the record changes the content of its key. */
+  function updateKey(record: KeyedRecord): boolean {
     const { key, value } = record;
     const content = readContent(record);
     const known = newest.get(key);
@@ -92,32 +98,33 @@
     return known?.content !== content;
   }
 
-  function takeNewest({ records, next: end }: KeyedReading): void {
+  function applyNewest({ records, next: end }: KeyedReading): void {
     const isRestored = next !== undefined && next.era !== end.era;
-    beginAt(end);
-    records.forEach(noteRecord);
-    if (isRestored) markDoubtful();
+    resetTo(end);
+    records.forEach(updateKey);
+    if (isRestored) markUnverified();
     isComplete = true;
   }
 
   /**
-   * A copy holds endpoints that have left since. Only those that live write
-   * again, and whoever asks here must hear of it, though it says nothing new.
+   * A restored copy of the store may hold endpoints that have left since. Only
+   * live ones write again, and that record must be relayed even if its content is
+   * unchanged.
    */
-  function markDoubtful(): void {
+  function markUnverified(): void {
     for (const known of newest.values()) known.content = undefined;
   }
 
-  function beginAt(end: TopicPosition): void {
+  function resetTo(end: TopicPosition): void {
     newest.clear();
     isComplete = false;
-    kept = [];
-    first = end.offset;
+    changes = [];
+    firstBuffered = end.offset;
     next = end;
   }
 
-  /** Returns whether there was news. */
-  function takeChanges(
+  /** Returns whether any record changed the content of its key. */
+  function applyChanges(
     { offset: from }: TopicPosition,
     reading: KeyedReading,
   ): boolean {
@@ -127,35 +134,38 @@
         value: record.value,
         offset: record.offset ?? from + index,
       }))
-      .filter(noteRecord);
-    kept.push(...news);
-    const excess = kept.splice(0, Math.max(0, kept.length - MAX_KEPT));
-    first = Math.max(first, (excess.at(-1)?.offset ?? -1) + 1);
+      .filter(updateKey);
+    changes.push(...news);
+    const excess = changes.splice(
+      0,
+      Math.max(0, changes.length - MAX_BUFFERED_CHANGES),
+    );
+    firstBuffered = Math.max(firstBuffered, (excess.at(-1)?.offset ?? -1) + 1);
     next = reading.next;
     return news.length > 0;
   }
 
-  function releaseAskers(
+  function resolveReady(
     isNewsThere: boolean,
     before: TopicPosition | undefined,
   ): void {
     const now = clock.now();
-    for (const { from, ripeAt, wake } of [...waiting]) {
+    for (const { from, confirmableAt, wake } of [...waiting]) {
       const isCaughtUp = isAhead(from, before) && !isAhead(from, next);
-      if (isNewsThere || isCaughtUp || now >= ripeAt) wake();
+      if (isNewsThere || isCaughtUp || now >= confirmableAt) wake();
     }
   }
 
-  function mayPassOn(): boolean {
-    return source.mayPassOn?.() ?? true;
+  function mayRelay(): boolean {
+    return source.mayRelay?.() ?? true;
   }
 
-  /** They lose no time at an entry that has nothing to pass on. */
-  function settleAskers(): void {
+  /** Ends all waits, so that no request waits for an entry that may not relay. */
+  function resolveAll(): void {
     for (const { wake } of [...waiting]) wake();
   }
 
-  function noteConfirmed(
+  function recordConfirmed(
     askedAt: KnowledgeTime,
     { age: old = 0 }: KeyedReading,
   ) {
@@ -169,34 +179,34 @@
     const askedAt = age.readTime();
     const reading = await source.readNewest();
     if (reading.isErr) return reading;
-    takeNewest(reading.value);
-    noteConfirmed(askedAt, reading.value);
-    releaseAskers(true, next);
+    applyNewest(reading.value);
+    recordConfirmed(askedAt, reading.value);
+    resolveReady(true, next);
     return reading;
   }
 
   async function readFrom(from: TopicPosition, wait: Millis) {
     const askedAt = age.readTime();
     const reading = await source.readFrom(from, wait);
-    if (!mayPassOn()) settleAskers();
+    if (!mayRelay()) resolveAll();
     if (reading.isErr) return reading;
     const before = next;
     let isNewsThere = true;
-    if (reading.value.isNewest) takeNewest(reading.value);
-    // Records in between were read elsewhere and are not kept here.
-    else if (!isSamePosition(from, next)) beginAt(reading.value.next);
-    else isNewsThere = takeChanges(from, reading.value);
-    noteConfirmed(askedAt, reading.value);
-    releaseAskers(isNewsThere, before);
+    if (reading.value.isNewest) applyNewest(reading.value);
+    // The records in between were read elsewhere and are not buffered here.
+    else if (!isSamePosition(from, next)) resetTo(reading.value.next);
+    else isNewsThere = applyChanges(from, reading.value);
+    recordConfirmed(askedAt, reading.value);
+    resolveReady(isNewsThere, before);
     return reading;
   }
 
-  function listNews(from: TopicPosition, arrivedAt: Millis): TopicNews {
-    if (!mayPassOn()) return { kind: "unknown" };
+  function createReply(from: TopicPosition, arrivedAt: Millis): TopicNews {
+    if (!mayRelay()) return { kind: "unknown" };
     if (next === undefined || isAhead(from, next)) return { kind: "unknown" };
     const known = { next, age: age.read() - (clock.now() - arrivedAt) };
-    if (from.era === next.era && from.offset >= first) {
-      const records = kept.filter(({ offset }) => offset >= from.offset);
+    if (from.era === next.era && from.offset >= firstBuffered) {
+      const records = changes.filter(({ offset }) => offset >= from.offset);
       return { kind: "records", records: records.map(formatRecord), ...known };
     }
     if (!isComplete) return { kind: "unknown" };
@@ -204,7 +214,7 @@
     return { kind: "newest", records, ...known };
   }
 
-  function waitForNews(
+  function waitForUpdate(
     { from, wait, confirmWait }: TopicQuestion,
     signal: AbortSignal | undefined,
   ): Promise<void> {
@@ -216,7 +226,7 @@
         resolve();
       };
       const stop = clock.startTimer(wait + confirmWait, wake);
-      const asker = { from, ripeAt: clock.now() + wait, wake };
+      const asker = { from, confirmableAt: clock.now() + wait, wake };
       waiting.add(asker);
       signal?.addEventListener("abort", wake, { once: true });
     });
@@ -228,19 +238,20 @@
   ): Promise<TopicNews> {
     const { from, wait } = question;
     const arrivedAt = clock.now();
-    const news = listNews(from, arrivedAt);
-    // An entry that has read elsewhere may be ahead for a moment.
+    const news = createReply(from, arrivedAt);
+    // A requester that has read elsewhere may be ahead; the wait lets this entry
+    // catch up with it.
     const isSomethingNew = news.kind === "newest" ||
       (news.kind === "records" && news.records.length > 0);
-    if (isSomethingNew || wait === 0 || !mayPassOn()) return news;
-    await waitForNews(question, signal);
-    return listNews(from, arrivedAt);
+    if (isSomethingNew || wait === 0 || !mayRelay()) return news;
+    await waitForUpdate(question, signal);
+    return createReply(from, arrivedAt);
   }
 
   return { source: { readNewest, readFrom }, answer };
 }
 
-/** Whether a position is of a later era, or of the same and behind the other. */
+/** Whether a position is in a later era, or further on in the same era. */
 function isAhead(
   { era, offset }: TopicPosition,
   other: TopicPosition | undefined,
@@ -256,6 +267,6 @@
   return era === other?.era && offset === other.offset;
 }
 
-function formatRecord({ key, value, offset }: KeptRecord) {
+function formatRecord({ key, value, offset }: BufferedChange) {
   return value === undefined ? { key, offset } : { key, value, offset };
 }
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -84,7 +84,7 @@
       source: {
         readNewest: () => Promise.resolve(Result.ok(createReading(5, "a=1/1"))),
         readFrom: () => Promise.resolve(Result.ok(createReading(5))),
-        mayPassOn: () => !isLost,
+        mayRelay: () => !isLost,
       },
       age: createKnowledgeAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value ?? "",
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -12,12 +12,12 @@
 import { expect } from "chai";
 import { MersenneTwister19937, Random } from "random-js";
 import { Result } from "true-myth";
-import { followKeyedTopic } from "./keyed_follower.ts";
-import { createReadingWatch } from "./reading_watch.ts";
+import { followTopic } from "./keyed_follower.ts";
+import { createReadTracker } from "./reading_watch.ts";
 import type { KeyedReading, KeyedSource } from "./serving_handles.ts";
-import { createSharedSource } from "./shared_source.ts";
+import { createRelayedSource } from "./shared_source.ts";
 import { createTestPeer } from "./test_support.ts";
-import { TOPIC_PACES } from "./topic_pace.ts";
+import { TOPIC_TIMINGS } from "./topic_pace.ts";
 import { chooseTopicParents } from "./topic_readers.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
@@ -64,7 +64,7 @@
     seed?: number;
   } = {},
 ): Fleet {
-  const pace = TOPIC_PACES[topic];
+  const timing = TOPIC_TIMINGS[topic];
   const clock = createFakeClock(0);
   const random = new Random(MersenneTwister19937.seed(seed));
   const real = () => random.real(0, 1);
@@ -151,15 +151,15 @@
     const membership = createKnowing(self);
     const relay = createTopicRelay({
       clock,
-      source: createSharedSource({
+      source: createRelayedSource({
         clock,
         random: real,
         topic,
         source: createStore(index),
         chooseParents: () => chooseTopicParents(membership),
         ask: askPeer,
-        pace,
-        readings: createReadingWatch({ clock, onEnd: () => {} }),
+        timing,
+        reads: createReadTracker({ clock, onEnd: () => {} }),
       }),
       age: createKnowledgeAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value ?? "",
@@ -189,22 +189,22 @@
   }
 
   for (const entry of entries) {
-    void followKeyedTopic({
+    void followTopic({
       clock,
       random: real,
       signal,
       source: entry.relay.source,
       readTime: entry.age.readTime,
-      wait: pace.wait,
-      pause: pace.pause,
+      wait: timing.wait,
+      pause: timing.pause,
       sink: {
-        noteRestored: () => {},
+        handleRestored: () => {},
         replaceAll: (list) =>
           entry.version = Math.max(...list.map(({ value }) => Number(value))),
         apply: ({ value }) => entry.version = Number(value),
-        noteConfirmed: entry.age.noteConfirmed,
-        noteAway: () => {},
-        noteBack: () => {},
+        recordConfirmed: entry.age.noteConfirmed,
+        handleUnavailable: () => {},
+        handleAvailable: () => {},
       },
     });
   }
