--- a/packages/serving/src/config_age_log.ts
+++ b/packages/serving/src/config_age_log.ts
@@ -1,9 +1,9 @@
 /**
- * Writes a line when an entry's configuration has become older than the time in
- * which a new one has to be in force, and another when it is young again.
+ * Logs when an entry's configuration has become older than the time within
+ * which a new one has to be in force, and when it is fresh again.
  *
- * A reading that never ends writes nothing by itself, so the age is looked at
- * beside the reading.
+ * A read that never ends logs nothing itself, so the age is checked
+ * independently of the reads.
  *
  * @module
  */
@@ -17,13 +17,13 @@
   log: DecisionLog;
   metrics: Pick<ServingMetrics, "setConfigAge">;
   readAge: () => Millis;
-  /** The version in force here, that of peers, and how it is read. */
+  /** Returns the version in force here, that of peers, and how it is read. */
   describe: () => DecisionFields;
 }
 
-/** What is written of the configuration's age. */
+/** Logs the age of the configuration. */
 export interface ConfigAgeLog {
-  /** Looks at the age; to be called again and again. */
+  /** Checks the age; to be called periodically. */
   check(): void;
 }
 
@@ -38,7 +38,7 @@
 
   function check(): void {
     const configAge = readAge();
-    // Before the first reading there is no age.
+    // There is no age before the first read.
     if (!Number.isFinite(configAge)) return;
     metrics.setConfigAge(configAge);
     const isOld = configAge > STALE_AGE;
--- a/packages/serving/src/config_freshness.ts
+++ b/packages/serving/src/config_freshness.ts
@@ -1,6 +1,6 @@
 /**
- * Whether the configuration of an entry is the one that is in force elsewhere,
- * and what it does where it is not.
+ * Checks whether an entry's configuration is the one that its peers have in
+ * force, and fetches theirs if it is newer.
  *
  * @module
  */
@@ -26,25 +26,28 @@
   >;
 }
 
-/** What is followed beside the store. */
+/** The peers whose configurations are followed in addition to the store. */
 export interface FollowedPeers {
   membership: Pick<Membership, "list">;
   peers: Pick<ServingPeerClient, "readConfig">;
 }
 
-/** The configuration of an entry against that of its peers. */
+/** Compares the configuration of an entry with those of its peers. */
 export interface ConfigFreshness {
-  /** The version in force here; 0 before the first. */
+  /** Returns the version in force here; 0 before the first. */
   readVersion(): number;
-  /** Notes the newest version that a live peer has. */
+  /** Records the newest version that a live peer has. */
   recordPeerVersion(version: number): void;
   /** Whether a peer has a version that this entry should have by now. */
   isBehindPeers(): boolean;
-  /** Writes what is old, and takes what peers have, until the signal aborts. */
+  /**
+   * Logs a stale configuration and fetches newer ones from peers until the
+   * signal aborts.
+   */
   follow(signal: AbortSignal, followed: FollowedPeers): Promise<void>;
 }
 
-/** Each look wakes the process; keys are bound by seconds. */
+/** Each check wakes the process; the age limit for keys is in seconds. */
 const CHECK_INTERVAL: Millis = 400;
 
 /** Creates the check of an entry that knows no configuration yet. */
--- a/packages/serving/src/fallback_peers.ts
+++ b/packages/serving/src/fallback_peers.ts
@@ -1,10 +1,10 @@
 /**
  * Chooses the peers that an entry reads from if its parents have no fresh data.
  *
- * The store may fail to serve some entries, including all readers. The remaining
- * entries then read the store themselves, and each entry without the store has to
- * find one of them. In an outage for all entries no peer is usable, so the search
- * backs off.
+ * The store may fail to serve some entries, including all readers. The
+ * remaining entries then read the store themselves, and each entry without the
+ * store has to find one of them. In an outage for all entries no peer is
+ * usable, so the search backs off.
  *
  * @module
  */
@@ -30,8 +30,8 @@
 /** Peers asked in one search; the store may not serve most of them either. */
 const SEARCH_COUNT = 8;
 /**
- * The parents are tried again after this time; otherwise relays would lose their
- * children for good.
+ * The parents are tried again after this time; otherwise relays would lose
+ * their children for good.
  */
 const PREFERENCE_TTL: Millis = 5_000;
 const MIN_BACKOFF: Millis = 50;
--- a/packages/serving/src/fallback_peers_test.ts
+++ b/packages/serving/src/fallback_peers_test.ts
@@ -4,8 +4,8 @@
 
 const OTHERS = Array.from({ length: 20 }, (_, index) => `10.1.0.${index}`);
 
-describe("peers in place of parents", () => {
-  it("asks eight at once, each once", () => {
+describe("fallback peers", () => {
+  it("chooses eight distinct candidates for one search", () => {
     const clock = createFakeClock(0);
     const peers = createFallbackPeers({ clock, random: () => 0.99 });
     const chosen = peers.chooseCandidates(() => OTHERS);
@@ -13,8 +13,9 @@
     expect(peers.chooseCandidates(() => ["only"])).to.deep.equal(["only"]);
   });
 
-  // In an outage for all, each entry would ask eight others all the time.
-  it("searches less and less often while nobody is of use", async () => {
+  // Without the back-off, each entry would ask eight others all the time in an
+  // outage for all.
+  it("backs off while no peer is usable", async () => {
     const clock = createFakeClock(0);
     const peers = createFallbackPeers({ clock, random: () => 0.5 });
     const searchedAt: number[] = [];
@@ -30,7 +31,7 @@
     ]);
   });
 
-  it("keeps to the one that was found for five seconds", async () => {
+  it("prefers the peer that was found for five seconds", async () => {
     const clock = createFakeClock(0);
     const peers = createFallbackPeers({ clock, random: () => 0.5 });
     expect(peers.readPreferred()).to.equal(undefined);
--- a/packages/serving/src/keyed_follower.ts
+++ b/packages/serving/src/keyed_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows a keyed topic: the newest record of each key first, then every change.
- * Survives outages, lost answers and expired records.
+ * Follows a compacted topic: reads a snapshot with the newest record of each
+ * key, then every change. Handles outages, lost responses and expired records.
  *
  * @module
  */
@@ -13,22 +13,25 @@
   TopicPosition,
 } from "./serving_handles.ts";
 
-/** What is done with what is read. */
+/** Receives the records of a topic. */
 export interface TopicSink {
   /**
-   * The store has come back from an older copy of itself: the newest records
-   * that are taken next lack what was written last.
+   * Called when the store was restored from an older copy, before the snapshot
+   * that is read next; that snapshot lacks the most recent writes.
    */
   handleRestored(): void;
-  /** Takes the newest record of every key. */
+  /** Applies a snapshot: the newest record of every key. */
   replaceAll(records: readonly KeyedRecord[]): void;
-  /** Takes one change. */
+  /** Applies one change. */
   apply(record: KeyedRecord): void;
-  /** What was taken so far was complete at `askedAt`. */
-  recordConfirmed(askedAt: KnowledgeTime): void;
-  /** The topic cannot be read any more. */
+  /**
+   * Called when the records applied so far are known to be complete at
+   * `requestedAt`.
+   */
+  recordConfirmed(requestedAt: KnowledgeTime): void;
+  /** Called when the topic has become unavailable. */
   handleUnavailable(): void;
-  /** The topic can be read again. */
+  /** Called when the topic is available again. */
   handleAvailable(): void;
 }
 
@@ -40,25 +43,26 @@
   source: KeyedSource;
   sink: TopicSink;
   readTime: () => KnowledgeTime;
-  /** How long one reading waits for a change. */
+  /** Long-poll wait of one read. */
   wait: Millis;
-  /** Pause between two readings of the store that found something. */
+  /** Pause after a successful read from the store. */
   pause: Millis;
 }
 
-/** Pause between two questions to another entry, which waits for changes. */
+/** Pause after a read from another entry, which batches changes itself. */
 const RELAYED_READ_PAUSE: Millis = 50;
-/** The first pause after a failed reading; doubles up to the longest. */
+/** The first pause after a failed read; doubles up to the maximum. */
 const MIN_BACKOFF: Millis = 50;
 const MAX_BACKOFF: Millis = 400;
 /**
- * Nobody of use for a moment is no outage. Taken for one, removals that are read
- * next would not be believed for two seconds, and endpoints that are gone would
- * get requests; while the store is away, no endpoint lapses within three seconds.
+ * Failures shorter than this are not an outage. If they were treated as one,
+ * removals read next would be ignored for two seconds, and removed endpoints
+ * would get requests. The delay is safe: while the store is unavailable, no
+ * endpoint expires within three seconds.
  */
 const UNAVAILABLE_AFTER: Millis = 1_000;
 
-/** Follows until the signal aborts. */
+/** Follows a topic until the signal aborts. */
 export async function followTopic(
   { clock, random, signal, source, sink, readTime, wait, pause }:
     TopicFollowerOptions,
@@ -67,16 +71,16 @@
   let era: number | undefined;
   let backoff = MIN_BACKOFF;
   let isUnavailable = false;
-  /** When the topic was last read. */
+  /** Time of the last successful read. */
   let readAt = -Infinity;
 
-  /** Returns what was read, or undefined after a failure. */
+  /** Resolves to the result, or to undefined after a failure. */
   async function readOnce(): Promise<KeyedReading | undefined> {
-    const reading = next === undefined
+    const result = next === undefined
       ? await source.readNewest()
       : await source.readFrom(next, wait);
-    if (reading.isOk) return reading.value;
-    if (reading.error === "expired") next = undefined;
+    if (result.isOk) return result.value;
+    if (result.error === "expired") next = undefined;
     else handleFailure();
     return undefined;
   }
@@ -87,34 +91,35 @@
     isUnavailable = true;
   }
 
-  function applyResult(reading: KeyedReading, askedAt: KnowledgeTime): void {
+  function applyResult(result: KeyedReading, requestedAt: KnowledgeTime): void {
     if (isUnavailable) sink.handleAvailable();
     isUnavailable = false;
     readAt = clock.now();
     backoff = MIN_BACKOFF;
-    const isSnapshot = next === undefined || reading.isNewest === true;
-    if (era !== undefined && reading.next.era !== era) sink.handleRestored();
-    era = reading.next.era;
-    if (isSnapshot) sink.replaceAll(reading.records);
-    else reading.records.forEach((record) => sink.apply(record));
-    next = reading.next;
-    const { age = 0 } = reading;
+    const isSnapshot = next === undefined || result.isNewest === true;
+    if (era !== undefined && result.next.era !== era) sink.handleRestored();
+    era = result.next.era;
+    if (isSnapshot) sink.replaceAll(result.records);
+    else result.records.forEach((record) => sink.apply(record));
+    next = result.next;
+    const { age = 0 } = result;
     sink.recordConfirmed({
-      monotonic: askedAt.monotonic - age,
-      wall: askedAt.wall - age,
+      monotonic: requestedAt.monotonic - age,
+      wall: requestedAt.wall - age,
     });
   }
 
   while (!signal.aborted) {
-    const askedAt = readTime();
-    const reading = await readOnce();
-    if (reading !== undefined) {
-      applyResult(reading, askedAt);
-      // Another entry has gathered changes already, and tells them as they come.
-      const rest = reading.isRelayed === true
+    const requestedAt = readTime();
+    const result = await readOnce();
+    if (result !== undefined) {
+      applyResult(result, requestedAt);
+      // Another entry has batched the changes already and sends them as they
+      // come.
+      const rest = result.isRelayed === true
         ? Math.min(pause, RELAYED_READ_PAUSE)
         : pause;
-      // A spread pause keeps entries that started together from asking together.
+      // The jitter keeps entries that started together from polling together.
       await clock.sleep(rest * (0.75 + random() / 2), signal);
       continue;
     }
--- a/packages/serving/src/keyed_follower_test.ts
+++ b/packages/serving/src/keyed_follower_test.ts
@@ -14,7 +14,7 @@
   };
 }
 
-describe("following a keyed topic", () => {
+describe("topic follower", () => {
   async function follow(newest: Script, changes: Script) {
     const clock = createFakeClock(0);
     const controller = new AbortController();
@@ -58,7 +58,7 @@
     return seen;
   }
 
-  it("reads on behind the newest records", async () => {
+  it("continues after the snapshot", async () => {
     const seen = await follow([createReading(4, "a", "b")], [
       createReading(5, "c"),
       createReading(5),
@@ -67,9 +67,9 @@
       .to.deep.equal(["all a+b", "from 4", "one c", "from 5", "from 5"]);
   });
 
-  // The store drops its history. Reading on at the old offset fails for ever;
-  // users would keep the configuration of that moment.
-  it("reads the newest again when the history is gone", async () => {
+  // The store drops its history. Reading from the old offset would fail for
+  // ever, and the entry would keep its current configuration.
+  it("reads a new snapshot when the history is gone", async () => {
     const seen = await follow(
       [createReading(4, "a"), createReading(9, "a", "d")],
       ["expired"],
@@ -78,9 +78,9 @@
       .to.deep.equal(["all a", "from 4", "all a+d", "from 9"]);
   });
 
-  // The store comes back from an older copy of itself and gives offsets out
-  // again. Read on at the old one, what was written below it would be missed.
-  it("reads the newest again in a new era, and tells so first", async () => {
+  // The store is restored from an older copy and reuses offsets. Reading from
+  // the old offset would miss records written below it.
+  it("reports a restore and reads a new snapshot in a new era", async () => {
     const copy = { ...createReading(2, "a"), next: createPosition(2, 1) };
     const seen = await follow([createReading(4, "a", "b"), copy], ["expired"]);
     expect(seen.slice(0, 5)).to.deep.equal([
@@ -92,7 +92,7 @@
     ]);
   });
 
-  it("tells an outage once, and its end, and misses nothing", async () => {
+  it("reports an outage and its end once, and misses no record", async () => {
     const outage = Array.from({ length: 8 }, () => "unavailable" as const);
     const seen = await follow([createReading(4, "a")], [
       ...outage,
@@ -103,10 +103,10 @@
     expect(seen.filter((step) => step === "from 4").length).to.equal(9);
   });
 
-  // Two entries that it asked were busy for a moment. Taken for an outage of the
+  // Two peers are busy for a moment. If that were treated as an outage of the
   // store, an endpoint whose removal is read next would get requests for two
-  // seconds more.
-  it("takes a short failure for no outage", async () => {
+  // more seconds.
+  it("does not report a short failure as an outage", async () => {
     const seen = await follow([createReading(4, "a")], [
       "unavailable",
       "unavailable",
@@ -116,9 +116,9 @@
       .to.deep.equal(["all a", "from 4", "from 4", "from 4", "one b"]);
   });
 
-  // What another entry tells is as old as it says: counted as new, a key that was
-  // taken away would open requests for that much longer.
-  it("dates what was read by its age", async () => {
+  // Data from another entry has the age that the entry reports. If it were
+  // counted as new, a revoked key would be accepted for that much longer.
+  it("subtracts the reported age from the time of the read", async () => {
     const clock = createFakeClock(10_000);
     const controller = new AbortController();
     const confirmed: number[] = [];
--- a/packages/serving/src/member_registry.ts
+++ b/packages/serving/src/member_registry.ts
@@ -1,7 +1,8 @@
 /**
- * Where entries find each other: a topic of the platform's store holds one
- * record of each. It only introduces them; whether one lives is told by the
- * exchange of heartbeats, which goes on while the store is away.
+ * Discovery of entries: a topic of the platform's store holds one record for
+ * each entry. It is used for discovery only; whether an entry is alive is
+ * determined by the exchange of heartbeats, which continues while the store is
+ * unavailable.
  *
  * @module
  */
@@ -13,11 +14,11 @@
 /** The records of entries in the platform's store. */
 export interface MemberStore {
   announce(record: PeerRecord): Promise<Result<null, string>>;
-  /** Writes that an entry is leaving, and takes its record away with that. */
+  /** Writes that an entry is leaving, which removes its record. */
   withdraw(record: PeerRecord): Promise<Result<null, string>>;
-  /** The records of all entries; some may have ended. */
+  /** The records of all entries; some entries may have ended. */
   readonly source: KeyedSource;
-  /** Undefined if another writer wrote it. */
+  /** Returns undefined for a record of another writer. */
   decode(record: KeyedRecord): PeerRecord | undefined;
 }
 
@@ -33,7 +34,7 @@
 
 const RETRY_INTERVAL: Millis = 500;
 
-/** Writes the entry's record until the store has taken it. */
+/** Writes the entry's record, and retries until the store has accepted it. */
 export async function publishEntry(
   { clock, random, signal, store, self, onFault }: PublishEntryOptions,
 ): Promise<void> {
@@ -45,30 +46,32 @@
   }
 }
 
-/** The entries by the store. */
+/** The entries that have a record in the store. */
 export interface MemberRegistry {
-  /** Takes the newest record of every entry; some may be of long ago. */
+  /**
+   * Applies a snapshot with the newest record of every entry; some may be old.
+   */
   replaceAll(records: readonly KeyedRecord[]): void;
-  /** Takes one that was written a moment ago. */
+  /** Applies a record that was written a moment ago. */
   apply(record: KeyedRecord): void;
-  /** Control addresses of all entries in the store. */
+  /** Lists the control addresses of all entries in the store. */
   listAddresses(): readonly string[];
 }
 
 /** Options of {@linkcode createMemberRegistry}. */
 export interface MemberRegistryOptions {
   decode: MemberStore["decode"];
-  /** Told of entries that may have ended since. */
+  /** Called with the entries of a snapshot, which may have ended since. */
   onSnapshot: (records: readonly PeerRecord[]) => void;
-  /** Told of an entry that has just started. */
+  /** Called with an entry that has just started. */
   onJoined: (record: PeerRecord) => void;
 }
 
-/** Creates a registry that knows nobody. */
+/** Creates an empty registry. */
 export function createMemberRegistry(
   { decode, onSnapshot, onJoined }: MemberRegistryOptions,
 ): MemberRegistry {
-  /** Control address by the key of the record. */
+  /** Control addresses by record key. */
   const addresses = new Map<string, string>();
 
   function decodeKnown(record: KeyedRecord): PeerRecord[] {
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -6,9 +6,10 @@
 import { createTestPeer } from "./test_support.ts";
 
 describe("registry of members", () => {
-  // All instances start while the store is away: each must be in it soon after
-  // its return, or the others never hear of it.
-  it("announces itself until the store has taken it", async () => {
+  // All instances start while the store is unavailable. Each must write its
+  // record soon after the store is available again, or the others never
+  // discover it.
+  it("retries until the store has accepted the record", async () => {
     const clock = createFakeClock(0);
     const writes: number[] = [];
     const faults: string[] = [];
@@ -47,7 +48,7 @@
 
   const record = (key: string, value?: string): KeyedRecord => ({ key, value });
 
-  it("tells old records from those written a moment ago", () => {
+  it("distinguishes snapshot records from new ones", () => {
     const { registry, told } = create();
     registry.replaceAll([record("a", "a"), record("b", "b")]);
     registry.apply(record("c", "c"));
@@ -56,7 +57,7 @@
     expect(registry.listAddresses()).to.deep.equal(["b", "c"]);
   });
 
-  it("takes a record of another writer for no entry", () => {
+  it("ignores a record of another writer", () => {
     const { registry, told } = create();
     registry.replaceAll([record("a", "?"), record("b", "b")]);
     registry.apply(record("b", "?"));
--- a/packages/serving/src/mod.ts
+++ b/packages/serving/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Serves published routes: passes requests through to endpoints unchanged, with
- * their stages done first and shared between entries.
+ * Serves published routes: forwards requests to endpoints unchanged, after
+ * running their stages, whose work is shared between entries.
  *
  * @module
  */
--- a/packages/serving/src/peer_config.ts
+++ b/packages/serving/src/peer_config.ts
@@ -1,10 +1,10 @@
 /**
- * Takes the configuration from a peer that has a newer one in force.
+ * Fetches the configuration from a peer that has a newer one in force.
  *
- * The load it answers: entries start before a store that has come back from an
- * older copy of itself, and nobody writes the newest configuration again; or the
- * way on which an entry hears of configurations fails. It would refuse all
- * requests with keys for as long as that lasts.
+ * Without it, an entry would refuse all requests with keys in two cases:
+ * entries start after the store was restored from an older copy and nobody
+ * writes the newest configuration again, or an entry cannot read
+ * configurations.
  *
  * @module
  */
@@ -12,15 +12,21 @@
 /** Options of {@linkcode refreshFromPeer}. */
 export interface PeerConfigOptions {
   random: () => number;
-  /** Control addresses of peers that have a newer one. */
+  /** Lists control addresses of peers that have a newer configuration. */
   listNewerPeers: () => readonly string[];
-  /** A peer's configuration as it was published; undefined without an answer. */
+  /**
+   * Resolves to a peer's configuration as it was published, or to undefined if
+   * the peer does not answer.
+   */
   fetch: (address: string) => Promise<string | undefined>;
-  /** Takes a published configuration; versions only rise. */
+  /** Applies a published configuration; an older version is ignored. */
   apply: (value: string) => void;
 }
 
-/** Asks one of them, drawn at random: a silent one is not asked each time. */
+/**
+ * Fetches from one of the peers, chosen at random, so that an unresponsive one
+ * is not asked each time.
+ */
 export async function refreshFromPeer(
   { random, listNewerPeers, fetch, apply }: PeerConfigOptions,
 ): Promise<void> {
--- a/packages/serving/src/peer_config_test.ts
+++ b/packages/serving/src/peer_config_test.ts
@@ -1,10 +1,11 @@
 import { expect } from "chai";
 import { refreshFromPeer } from "./peer_config.ts";
 
-describe("the configuration of a peer", () => {
-  // All entries of a place start again before a store that came back from an
-  // older copy. Keys are refused until somebody publishes a configuration again.
-  it("is taken from one that answers", async () => {
+describe("configuration from a peer", () => {
+  // All entries of a place restart after the store was restored from an older
+  // copy. Without this, keys are refused until a configuration is published
+  // again.
+  it("is fetched from a peer that answers", async () => {
     const asked: string[] = [];
     const taken: string[] = [];
     const refresh = (draw: number, newerPeers = ["silent", "other"]) =>
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry and its peers tell each other: who lives, who leaves, which
- * endpoints leave.
+ * Gossip between an entry and its peers: which entries are alive or leaving,
+ * which endpoints are leaving, endpoint limits and quarantined contents.
  *
  * @module
  */
@@ -40,7 +40,7 @@
   log: DecisionLog;
   metrics: ServingMetrics;
   settings: ServingSettings;
-  /** Changes with every start of the process. */
+  /** Differs for every start of the process. */
   incarnation: string;
   checkListening: (address: string) => Promise<Listening>;
   members: MemberStore;
@@ -49,44 +49,52 @@
   readState: () => PeerState;
   countInFlight: () => number;
   readConfigVersion: () => number;
-  /** Told again and again which version is the newest among live peers. */
+  /**
+   * Called periodically with the newest configuration version among live peers.
+   */
   recordPeerVersion: (version: number) => void;
   limits: Pick<EndpointLimits, "chooseNews" | "takeNews">;
-  /** What is told along of contents that are turned away. */
+  /** Source and receiver of updates about quarantined contents. */
   quarantine: Pick<QuarantineNews, "readNews" | "takeNews">;
 }
 
-/** The peers of one entry. */
+/** The membership and gossip of one entry. */
 export interface PeerGossip {
   readonly self: PeerRecord;
   readonly membership: Membership;
   readonly peers: ServingPeerClient;
-  /** Takes what the store says of entries. */
+  /** Receives the store's records of entries. */
   readonly registry: MemberRegistry;
-  /** Writes this entry's record again, which a copy of the store may lack. */
+  /** Writes this entry's record again, which a restored store may lack. */
   republish(signal: AbortSignal): Promise<void>;
-  /** Begins to exchange news; ends when the signal aborts. */
+  /** Starts the gossip exchange; it ends when the signal aborts. */
   start(signal: AbortSignal): ExchangeLoop;
-  /** Entries that a caller may use, at most `limit`; this one if it is ready. */
+  /**
+   * Returns at most `limit` entries that a caller may use, among them this one
+   * if it is ready.
+   */
   chooseEntries(limit: number): PeerRecord[];
 }
 
 const EXCHANGE_INTERVAL: Millis = 500;
 const PEER_TIMEOUT: Millis = 400;
-/** Five exchanges without news; most news comes through others in two. */
+/**
+ * Five exchanges without an update; most updates arrive through others in two.
+ */
 const SUSPECT_TIMEOUT: Millis = 2_500;
 const LOST_TIMEOUT: Millis = 6_000;
 /**
- * A message carries the news of some six peers, so among more than this many
- * news of one takes longer; at 86 about three times as long.
+ * A message carries updates about six peers or so, so updates about one peer
+ * take longer when there are more peers than this; with 86 about three times as
+ * long. The time-outs are scaled accordingly.
  */
 const FAST_GOSSIP_PEERS = 24;
 const MAX_TIMEOUT_FACTOR = 3;
 
-/** Hundreds of entries write again together; the store takes that spread out. */
+/** Jitter, as hundreds of entries republish to a restored store at once. */
 const REPUBLISH_JITTER: Millis = 1_000;
 
-/** Creates the news of an entry that knows only itself. */
+/** Creates the gossip of an entry that knows only itself. */
 export function createPeerGossip(options: PeerGossipOptions): PeerGossip {
   const { clock, readWallTime, random, log, metrics, settings } = options;
   /** Incarnation and state of each peer as last logged. */
@@ -116,8 +124,8 @@
     scalePatience: (known) =>
       Math.min(MAX_TIMEOUT_FACTOR, Math.max(1, known / FAST_GOSSIP_PEERS)),
   });
-  // Peers are reachable only inside the platform's network, which gives its
-  // processes no shared secret.
+  // Peers are reachable only inside the platform's network, and the platform
+  // provides no shared secret to its processes.
   const peers = createServingPeerClient({
     clock,
     siteKey: "",
@@ -196,7 +204,7 @@
     return exchange;
   }
 
-  /** Logs changes only: heartbeats come many times a second. */
+  /** Logs changes only: heartbeats arrive many times a second. */
   function recordPeer(
     { entry, incarnation, state, controlAddress }: PeerRecord,
   ) {
@@ -218,7 +226,7 @@
     republish,
     start,
     chooseEntries(limit) {
-      // Its record says so only with the next heartbeat.
+      // The own record shows the current state only after the next heartbeat.
       const record: PeerRecord = { ...membership.self, state: "live" };
       const own = { record, health: "alive" } as const;
       const others = membership.list();
--- a/packages/serving/src/peer_reader.ts
+++ b/packages/serving/src/peer_reader.ts
@@ -1,9 +1,9 @@
 /**
- * Reads a topic from other entries: from the parents of this entry, and from any
- * other entry if the parents have no fresh data.
+ * Reads a topic from other entries: from the parents of this entry, and from
+ * any other entry if the parents have no fresh data.
  *
- * A reply states how old the peer's data is. A peer is skipped if its data is too
- * old, if it does not answer, or if it does not have the requested records.
+ * A reply states how old the peer's data is. A peer is skipped if its data is
+ * too old, if it does not answer, or if it does not have the requested records.
  *
  * @module
  */
@@ -21,9 +21,9 @@
   random: () => number;
   topic: TopicName;
   /** Resolves to undefined if the entry does not answer. */
-  ask: (
+  request: (
     address: string,
-    question: TopicQuestion,
+    query: TopicQuestion,
   ) => Promise<TopicNews | undefined>;
   timing: Pick<TopicTiming, "confirmWait" | "maxAge">;
   reads: Pick<ReadTracker, "begin">;
@@ -45,7 +45,7 @@
    */
   readAtParents(
     parents: readonly string[],
-    question: { from: TopicPosition; wait: Millis },
+    query: { from: TopicPosition; wait: Millis },
   ): Promise<PeerReadResult | undefined>;
   /**
    * Asks a sample of all other entries for the data that they have already, and
@@ -55,7 +55,9 @@
     from: TopicPosition,
     listOthers: () => readonly string[],
   ): Promise<PeerReadResult | undefined>;
-  /** Returns the peer that a search found, as long as it replaces the parents. */
+  /**
+   * Returns the peer that a search found, as long as it replaces the parents.
+   */
   readFallback(): string | undefined;
   /** Records when the store confirmed the data that this entry has read. */
   recordConfirmed(at: Millis): void;
@@ -65,14 +67,14 @@
 const MAX_PARENTS_ASKED = 3;
 
 /**
- * Lower bound of the long-poll wait, also while the store is slow and no peer has
- * fresh data. It limits each requester to about seven requests a second.
+ * Lower bound of the long-poll wait, also while the store is slow and no peer
+ * has fresh data. It limits each requester to about seven requests a second.
  */
 const MIN_WAIT: Millis = 100;
 
 /**
- * Data that was confirmed this much later is from a newer response of the store.
- * Half of the time between two confirmations.
+ * Data that was confirmed this much later is from a newer response of the
+ * store. Half of the time between two confirmations.
  */
 const MIN_FRESHNESS_GAIN: Millis = 300;
 /**
@@ -82,17 +84,20 @@
 const MAX_AGE_FACTOR = 3;
 
 /**
- * The search for other peers starts when the data's age reaches this share of the
- * limit. Until then the entry's own data is good enough, and others hardly have
- * any fresher.
+ * The search for other peers starts when the data's age reaches this share of
+ * the limit. Until then the entry's own data is good enough, and others hardly
+ * have any fresher.
  */
 const SEARCH_AGE_SHARE = 0.7;
-/** Further replies of peers asked together are awaited this long after the first. */
+/**
+ * Further replies of peers asked together are awaited this long after the
+ * first.
+ */
 const REPLY_WINDOW: Millis = 20;
 
 /** Creates the reader of one topic. */
 export function createPeerReader(
-  { clock, random, topic, ask, timing, reads }: PeerReaderOptions,
+  { clock, random, topic, request, timing, reads }: PeerReaderOptions,
 ): PeerReader {
   const penalties = createPeerPenalties(clock);
   const fallback = createFallbackPeers({ clock, random });
@@ -120,18 +125,18 @@
   /** Resolves to undefined if the peer's reply is not usable. */
   async function requestFromPeer(
     address: string,
-    question: Omit<TopicQuestion, "topic">,
+    query: Omit<TopicQuestion, "topic">,
   ): Promise<PeerReadResult | undefined> {
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const end = reads.begin("peer", address);
-    const news = await ask(address, { topic, ...question });
-    if (news === undefined) {
+    const reply = await request(address, { topic, ...query });
+    if (reply === undefined) {
       penalties.note(address, "silent");
       return void end("silent");
     }
-    if (news.kind === "unknown") return void end("unknown");
-    const { records, next, age, kind } = news;
-    if (!isFreshEnough(askedAt - age)) return void end("old");
+    if (reply.kind === "unknown") return void end("unknown");
+    const { records, next, age, kind } = reply;
+    if (!isFreshEnough(requestedAt - age)) return void end("old");
     end("read");
     penalties.clear(address);
     const result: KeyedReading = {
@@ -144,7 +149,7 @@
       isNewest: kind === "newest",
       isRelayed: true,
     };
-    return { address, result, confirmedAt: askedAt - age };
+    return { address, result, confirmedAt: requestedAt - age };
   }
 
   /** Not called for peers asked in a search, which has its own back-off. */
@@ -167,7 +172,8 @@
       ...computeWaits(wait),
     });
     if (result !== undefined) return result;
-    // Time was lost already: the others are asked concurrently and without a wait.
+    // Time was lost already: the others are asked concurrently and without a
+    // wait.
     const found = await requestConcurrently(others, from);
     usable.filter((parent) => parent !== found?.address).forEach(
       recordUnusable,
@@ -176,17 +182,18 @@
   }
 
   /**
-   * Asks peers concurrently and resolves to the freshest of the replies that come
-   * shortly after the first one; a peer that does not answer causes no delay.
+   * Asks peers concurrently and resolves to the freshest of the replies that
+   * come shortly after the first one; a peer that does not answer causes no
+   * delay.
    */
   async function requestConcurrently(
     addresses: readonly string[],
     from: TopicPosition,
   ): Promise<PeerReadResult | undefined> {
-    const question = { from, wait: 0, confirmWait: 0 };
+    const query = { from, wait: 0, confirmWait: 0 };
     const answered: PeerReadResult[] = [];
     const asked = addresses.map(async (address) => {
-      const result = await requestFromPeer(address, question);
+      const result = await requestFromPeer(address, query);
       if (result === undefined) throw new Error(`${address} is not usable`);
       answered.push(result);
     });
@@ -220,10 +227,10 @@
   }
 
   /**
-   * Limits the waits of a request by the age of this entry's data. A reader that
-   * has lost the store replies without updates when the waits are over, and its
-   * data is then too old. This entry must ask the store itself before its own
-   * data has exceeded the limit by that time.
+   * Limits the waits of a request by the age of this entry's data. A reader
+   * that has lost the store replies without updates when the waits are over,
+   * and its data is then too old. This entry must ask the store itself before
+   * its own data has exceeded the limit by that time.
    */
   function computeWaits(wait: Millis) {
     if (wait === 0) return { wait, confirmWait: 0 };
--- a/packages/serving/src/reading_watch.ts
+++ b/packages/serving/src/reading_watch.ts
@@ -1,38 +1,37 @@
 /**
- * Watches the readings of one topic, so that a log line can tell why an entry's
- * knowledge of it is old: a reading that does not end, readings that fail, or
- * nobody to ask.
+ * Tracks the reads of one topic, so that log lines can show why an entry's data
+ * is stale: a read that does not end, reads that fail, or no peer to read from.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { DecisionFields } from "./decision_log.ts";
 
-/** Where a topic is read. */
+/** Where a topic is read from. */
 export type ReadSource = "store" | "peer";
 
-/** How a reading ended. */
+/** How a read ended. */
 export type ReadOutcome =
   | "read"
-  /** The records asked for are gone. */
+  /** The requested records are gone. */
   | "expired"
-  /** The store did not answer, or turned this entry away. */
+  /** The store did not answer, or refused this entry. */
   | "unavailable"
-  /** The peer's own knowledge is too old. */
+  /** The peer's data is too old. */
   | "old"
   /** The peer has not read the topic, or not as far. */
   | "unknown"
   /** The peer did not answer. */
   | "silent";
 
-/** Notes how a reading ended. */
+/** Records how a read ended. */
 export type EndRead = (outcome: ReadOutcome) => void;
 
-/** The readings of one topic. */
+/** Tracks the reads of one topic. */
 export interface ReadTracker {
-  /** Notes a reading that begins, at the peer with this address if at one. */
+  /** Records the start of a read; `address` is that of the peer, if any. */
   begin(source: ReadSource, address?: string): EndRead;
-  /** The reading that takes longest by now, and the one that ended last. */
+  /** Describes the oldest read in progress and the read that ended last. */
   describe(): DecisionFields;
 }
 
@@ -48,24 +47,24 @@
   startedAt: Millis;
 }
 
-/** Creates the watch of a topic that was never read. */
+/** Creates the tracker of a topic that was never read. */
 export function createReadTracker(
   { clock, onEnd }: ReadTrackerOptions,
 ): ReadTracker {
-  /** In the order in which they began. */
+  /** In order of start. */
   const inProgress = new Set<ReadInProgress>();
   let last: DecisionFields = {};
 
   function begin(source: ReadSource, address?: string): EndRead {
     const at = address === undefined ? source : `${source} ${address}`;
-    const reading: ReadInProgress = { at, startedAt: clock.now() };
-    inProgress.add(reading);
+    const read: ReadInProgress = { at, startedAt: clock.now() };
+    inProgress.add(read);
     return (outcome) => {
-      inProgress.delete(reading);
+      inProgress.delete(read);
       last = {
         lastReading: at,
         lastOutcome: outcome,
-        lastTook: clock.now() - reading.startedAt,
+        lastTook: clock.now() - read.startedAt,
       };
       onEnd(source, outcome);
     };
--- a/packages/serving/src/reading_watch_test.ts
+++ b/packages/serving/src/reading_watch_test.ts
@@ -2,8 +2,8 @@
 import { expect } from "chai";
 import { createReadTracker } from "./reading_watch.ts";
 
-describe("watch of a topic's readings", () => {
-  it("tells the longest reading in progress and the last that ended", async () => {
+describe("read tracker", () => {
+  it("describes the oldest read in progress and the last one", async () => {
     const clock = createFakeClock(0);
     const ended: string[] = [];
     const watch = createReadTracker({
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -1,6 +1,6 @@
 /**
- * An entry that passes routes through to endpoints: wires what it knows, what
- * decides, and where it listens.
+ * An entry that forwards requests of its routes to endpoints. Wires the site
+ * state, the components that make decisions, and the listeners.
  *
  * @module
  */
@@ -56,30 +56,39 @@
 export interface ServingEntry {
   /** Whether callers may be sent here. */
   isReady(): boolean;
-  /** Entries that a caller may use, at most `limit`; this one if it is ready. */
+  /**
+   * Returns at most `limit` entries that a caller may use, among them this one
+   * if it is ready.
+   */
   chooseEntries(limit: number): PeerRecord[];
-  /** Answers for its metrics. */
+  /** Serves the entry's metrics. */
   readonly metricsListener: RequestListener;
-  /** Notes that the settings file was read again. */
+  /** Records that the settings file was reloaded. */
   reload(outcome: string): void;
-  /** Leaves, finishes what is in progress and resolves. */
+  /** Leaves the site, finishes the requests in progress, then resolves. */
   stop(): Promise<void>;
-  /** Ends at once, whatever is in progress. */
+  /** Ends at once, even with requests in progress. */
   kill(): void;
 }
 
-/** Callers keep an answer for three seconds at most, then none comes here. */
+/**
+ * Callers cache the list of entries for at most three seconds. After that no
+ * new requests arrive here.
+ */
 const LEAVE_DELAY: Millis = 3_200;
 /**
- * This long before the kill what is in progress is given up, with an answer: one
- * whose connection just ends does not know whether it may come again.
+ * Requests in progress are ended with a response this long before the process
+ * is killed: a caller whose connection just closes does not know whether it may
+ * retry.
  */
 const SHUTDOWN_MARGIN: Millis = 800;
-/** The answers take this long at most, on an instance short of processor. */
+/**
+ * Time to send those responses, enough for an instance short of processor time.
+ */
 const REPLY_FLUSH_TIMEOUT: Millis = 500;
-/** Entries that are told at once when this one leaves. */
+/** Maximum number of peers notified at once when this entry leaves. */
 const MAX_NOTIFIED_PEERS = 10;
-/** Until the first configuration is known. */
+/** Limits in use until the first configuration is known. */
 const DEFAULT_LIMITS: RequestLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
@@ -91,7 +100,8 @@
   maxHeaderBytes: 16_384,
   requestTimeoutMs: 10_000,
   maxConnections: 1_000,
-  // Longer than peers keep theirs, which would else meet a close at times.
+  // Longer than the idle time-out of the peers' clients, which could otherwise
+  // send a request on a connection that is just being closed.
   idleTimeoutMs: 65_000,
 };
 
@@ -103,7 +113,7 @@
   const logger = options.logger.forPart("entry");
   const controller = new AbortController();
   const { signal } = controller;
-  // Each follower waits for it all the time, which is no leak.
+  // Each follower listens to the signal permanently; this is not a leak.
   setMaxListeners(0, signal);
   const shutdown = new AbortController();
   const metrics = createServingMetrics(settings.entry);
@@ -113,7 +123,7 @@
     onDropped: (kind) => metrics.countDroppedLine(kind),
   });
   const tasks = createTaskSet((error) =>
-    logger.error("A task failed.", { error: String(error) })
+    logger.error("Background task failed.", { error: String(error) })
   );
   let phase: ListenerPhase = "open";
 
@@ -135,7 +145,7 @@
         timing: TOPIC_TIMINGS[topic],
         reads,
         chooseParents: () => chooseTopicParents(membership),
-        ask: (address, question) => topicRequests.request(address, question),
+        request: (address, query) => topicRequests.request(address, query),
       }),
     onConfig: ({ limits }) => listener.applyLimits(limits),
     onEndpoints: () => pools.refreshFeeders(),
@@ -172,9 +182,10 @@
   }
 
   /**
-   * An entry that is not ready stays a feeder and a reader: taken for leaving,
-   * after a start of all or in an outage of the store, each would find itself
-   * alone and do everything for itself.
+   * An entry that is not ready still acts as a dispatcher and a store reader.
+   * If it were treated as leaving, then after a restart of all entries, or in
+   * an outage of the store, each entry would see no others and do all work
+   * alone.
    */
   function readState(): PeerState {
     if (phase !== "open") return "leaving";
@@ -208,8 +219,8 @@
   const { membership, peers } = gossip;
   const topicRequests = createTopicRequestBatcher({
     clock,
-    send: async (address, questions) => {
-      const reply = await peers.readTopics(address, questions);
+    send: async (address, queries) => {
+      const reply = await peers.readTopics(address, queries);
       return reply.isOk ? reply.value : undefined;
     },
   });
@@ -233,7 +244,7 @@
     clock,
     checkListening: platform.checkListening,
   });
-  /** Those that left send nothing more; those that are silent may. */
+  /** Entries that left send no more requests; unresponsive ones still may. */
   function listSenders(): string[] | undefined {
     if (!siteState.hasMembers()) return undefined;
     const others = membership.list()
@@ -362,8 +373,7 @@
         runPieces: (run, stop) => runForPeer(run, stop),
         reportRuns: quarantineNews.answer,
         readConfig: () => siteState.readPublished() ?? null,
-        readTopics: (questions) =>
-          handleTopicRequests(siteState.relays, questions),
+        readTopics: (queries) => handleTopicRequests(siteState.relays, queries),
         readWaits: ({ pool, partition, priority }) =>
           findFeeder(pool, partition).readWaits(priority),
         releaseResults: ({ pool, partition, results }) =>
@@ -380,19 +390,19 @@
   }
 
   siteState.follow(signal).catch((error) =>
-    logger.error("Following the platform's store has ended.", {
+    logger.error("Follower of the platform's store failed.", {
       error: String(error),
     })
   );
 
   freshness.follow(signal, { membership, peers }).catch((error) =>
-    logger.error("Watching the configuration has ended.", {
+    logger.error("Configuration freshness check failed.", {
       error: String(error),
     })
   );
 
   quarantineNews.watchTerms().catch((error) =>
-    logger.error("Watching the terms of quarantines has ended.", {
+    logger.error("Quarantine expiry check failed.", {
       error: String(error),
     })
   );
@@ -447,7 +457,7 @@
       metrics.registry.metrics().then(
         (text) => response.end(text),
         (error) => {
-          logger.error("Metrics cannot be read.", { error: String(error) });
+          logger.error("Metrics collection failed.", { error: String(error) });
           response.destroy();
         },
       );
--- a/packages/serving/src/shared_source.ts
+++ b/packages/serving/src/shared_source.ts
@@ -43,7 +43,7 @@
   /** Returns the entries to read from before the store. */
   chooseParents: () => TopicParents;
   /** Resolves to undefined if the entry does not answer. */
-  ask: PeerReaderOptions["ask"];
+  request: PeerReaderOptions["request"];
   timing: Pick<TopicTiming, "relayWait" | "confirmWait" | "maxAge">;
   /** Tracks every read, from the store and from other entries. */
   reads: Pick<ReadTracker, "begin">;
@@ -77,7 +77,7 @@
     topic,
     source,
     chooseParents,
-    ask,
+    request,
     timing,
     reads,
   }: RelayedSourceOptions,
@@ -86,7 +86,7 @@
     clock,
     random,
     topic,
-    ask,
+    request,
     timing,
     reads,
   });
@@ -125,10 +125,10 @@
     read: () => Promise<Result<KeyedReading, KeyedFault>>,
   ) {
     const end = reads.begin("store");
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const result = await read();
     end(result.isOk ? "read" : result.error);
-    if (result.isOk) peers.recordConfirmed(askedAt);
+    if (result.isOk) peers.recordConfirmed(requestedAt);
     return result;
   }
 
@@ -148,10 +148,10 @@
     const shortened = Math.round(
       Math.max(MIN_WAIT_SHARE * wait, wait - storeDelay),
     );
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const result = await callStore(from, shortened);
     if (result.isErr) return result;
-    const took = clock.now() - askedAt;
+    const took = clock.now() - requestedAt;
     const isEmpty = result.value.records.length === 0;
     // A store that returns before the wait is over does not honour the wait; a
     // longer wait would not slow it down, so the delay is never negative.
@@ -160,7 +160,7 @@
     // A record written during the wait would have ended it, so the result is as
     // fresh as the end of the wait.
     const age = took < shortened ? 0 : -shortened;
-    peers.recordConfirmed(askedAt - age);
+    peers.recordConfirmed(requestedAt - age);
     return Result.ok<KeyedReading, KeyedFault>({ ...result.value, age });
   }
 
@@ -266,10 +266,10 @@
     // Not awaited: the probe could delay the read by a second.
     if (parents.isReader && storeHealth.reserveProbe()) void callStore(from, 0);
     const startedAt = clock.now();
-    const question = { from, wait: timing.relayWait };
+    const query = { from, wait: timing.relayWait };
     const relayed = await peers.readAtParents(
       listCandidates(parents),
-      question,
+      query,
     );
     if (relayed !== undefined) {
       nextStoreReadAt = undefined;
--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/shared_source_test.ts
@@ -17,7 +17,7 @@
 
 type Answers = Record<string, TopicNews | undefined>;
 
-describe("reading a topic at another entry", () => {
+describe("relayed topic source", () => {
   function create(
     answers: Answers,
     {
@@ -30,17 +30,17 @@
       storePause?: Millis;
       isReader?: boolean;
       isStoreAway?: boolean;
-      /** What each reading of the store takes; the others take no time. */
+      /** Duration of each store read; further ones take no time. */
       storeDelays?: readonly Millis[];
-      /** After this a silent entry is given up. */
+      /** Time after which a request to an unresponsive entry is given up. */
       silence?: Millis;
     } = {},
   ) {
     const clock = createFakeClock(0);
-    /** Waits that the store was asked for. */
+    /** The waits of the store reads. */
     const waits: Millis[] = [];
     const asked: string[] = [];
-    const questions: TopicQuestion[] = [];
+    const queries: TopicQuestion[] = [];
     const source = createRelayedSource({
       clock,
       random: () => 0.5,
@@ -62,9 +62,9 @@
         storePause,
         listOthers: () => [],
       }),
-      async ask(address, question) {
+      async request(address, query) {
         asked.push(address);
-        questions.push(question);
+        queries.push(query);
         const answer = answers[address];
         if (answer === undefined && silence > 0) await clock.sleep(silence);
         return answer;
@@ -76,13 +76,13 @@
       source,
       clock,
       asked,
-      questions,
+      queries,
       waits,
       read: (wait: Millis = 500) => source.readFrom(createPosition(5), wait),
     };
   }
 
-  it("does not ask the store, and tells the age", async () => {
+  it("reads from a peer without the store, and reports the age", async () => {
     const { read, asked } = create({ reader: NEWS });
     const reading = await read();
     expect(asked).to.deep.equal(["reader"]);
@@ -95,15 +95,15 @@
     });
   });
 
-  it("asks the store where this entry is a reader", async () => {
+  it("reads the store if this entry is a store reader", async () => {
     const { read, asked } = create({ other: NEWS }, { isReader: true });
     await read();
     expect(asked).to.deep.equal(["store"]);
   });
 
-  // The store turns this reader away alone. Without the others it would refuse
-  // every key after some seconds, while they know that all hold.
-  it("hears from others when it is a reader and cut off", async () => {
+  // The store is unavailable to this reader only. Without data from peers it
+  // would refuse every key after some seconds, although the keys are valid.
+  it("reads from peers if it is a store reader without the store", async () => {
     const { read, asked } = create({ other: NEWS }, {
       isReader: true,
       isStoreAway: true,
@@ -113,15 +113,15 @@
     expect(reading.isOk && reading.value.next).to.deep.equal(createPosition(6));
   });
 
-  // The reader is frozen, cut off from the store, or has just become one. A key
-  // that is taken away meanwhile must not open anything here.
+  // The reader is frozen, has lost the store, or has just become a reader. A
+  // key that is revoked meanwhile must not be accepted here.
   const USELESS: { name: string; answer: TopicNews | undefined }[] = [
-    { name: "is silent", answer: undefined },
-    { name: "knows nothing of the offset", answer: { kind: "unknown" } },
+    { name: "does not answer", answer: undefined },
+    { name: "does not have the offset", answer: { kind: "unknown" } },
     { name: "has lost the store itself", answer: { ...NEWS, age: 1_100 } },
   ];
   for (const { name, answer } of USELESS) {
-    it(`asks the store at once if the only reader ${name}`, async () => {
+    it(`reads the store at once if the only reader ${name}`, async () => {
       const { read, asked, clock } = create({ reader: answer });
       await read();
       expect(asked).to.deep.equal(["reader", "store"]);
@@ -133,18 +133,20 @@
     });
 
     it(`asks the next reader, not the store, if one ${name}`, async () => {
-      const { read, asked, questions } = create({ one: answer, two: NEWS });
+      const { read, asked, queries } = create({ one: answer, two: NEWS });
       await read();
       await read();
       expect(asked).to.deep.equal(["one", "two", "two"]);
       // No time is lost with the second.
-      expect(questions.map(({ wait }) => wait)).to.deep.equal([400, 0, 400]);
+      expect(queries.map(({ wait }) => wait)).to.deep.equal([400, 0, 400]);
     });
   }
 
-  // The first is asked with a wait. What the second tells after it is as young as
-  // the second question; told from the start of the reading, it seems too old.
-  it("tells the age from the start of the reading", async () => {
+  // The first peer is asked with a wait, the second one after that. The reply
+  // of the second is as fresh as its own request. The source must report the
+  // age relative to the start of the whole read, or the data would seem too
+  // old.
+  it("reports the age relative to the start of the read", async () => {
     const { clock, read } = create({ silent: undefined, young: NEWS }, {
       silence: 700,
     });
@@ -154,9 +156,10 @@
     expect(reading.isOk && reading.value.age).to.equal(300 - 700);
   });
 
-  // The store takes 350 ms for each answer. Taken for lost each time, a reader
-  // has nothing to pass on, and its askers press the store that is slow.
-  it("goes on reading for others before a slow store", async () => {
+  // The store takes 350 ms for each response. If a reader treated it as lost
+  // each time, it would relay nothing, and its children would add load to a
+  // store that is slow already.
+  it("keeps relaying while the store is slow", async () => {
     const { clock, read, source } = create({}, {
       isReader: true,
       storeDelays: [350, 350, 350],
@@ -172,7 +175,7 @@
     expect(passesOn).to.deep.equal([false, true, true]);
   });
 
-  it("is as young as the end of a wait without news", async () => {
+  it("is as fresh as the end of a wait without updates", async () => {
     const { clock, read } = create({}, {
       isReader: true,
       storeDelays: [600, 3],
@@ -184,14 +187,14 @@
       const { value } = (await reply) as { value: KeyedReading };
       ages.push(value.age);
     }
-    // The second was answered at once: nothing is known of the wait.
+    // The second was answered at once, so the wait confirms nothing.
     expect(ages).to.deep.equal([-600, 0]);
   });
 
-  // The store is away, so nobody has anything young to tell. With a question to
-  // each relay and a call to the store every half second, a fleet of hundreds
-  // would make a thousand calls a second, and the store would stay away.
-  it("asks seldom while nobody is of use, and spreads its calls", async () => {
+  // The store is unavailable, so no peer has fresh data. With a request to each
+  // relay and a call to the store every half second, a fleet of hundreds would
+  // make a thousand calls a second, and the store could not recover.
+  it("backs off with jitter while no peer is usable", async () => {
     const { read, asked, clock } = create({ reader: undefined }, {
       storePause: 5_000,
     });
@@ -205,10 +208,10 @@
     expect(count("reader")).to.equal(5);
   });
 
-  // The store answers at once, without news, to a wait that it does not
-  // understand. Taken for a store that is faster than its waits, each next wait
-  // was longer by that, and the reader asked twenty times a second.
-  it("never waits for longer than it means to, and for whole times", async () => {
+  // The store returns at once, without updates, from a wait that it does not
+  // understand. When the source took this for a negative delay, each next wait
+  // got longer, and the reader polled twenty times a second.
+  it("never waits longer than intended, in whole milliseconds", async () => {
     const { clock, waits, read } = create({}, {
       isReader: true,
       storeDelays: [605.7, 3, 3, 3],
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_knowledge.ts
@@ -1,6 +1,7 @@
 /**
- * What an entry knows from the platform's store: the configuration in force and
- * the endpoints, and how old that is.
+ * The local copy that an entry keeps of the site's state in the platform's
+ * store (the configuration in force, the endpoints and the entries), and its
+ * age.
  *
  * @module
  */
@@ -40,52 +41,60 @@
 /** Options of {@linkcode createSiteState}. */
 export interface SiteStateOptions {
   clock: Clock;
-  /** The time of day; counts on while a process is suspended. */
+  /** Wall-clock time; it advances while the process is suspended. */
   readWallTime: () => Millis;
   random: () => number;
   log: DecisionLog;
   logger: Logger;
   metrics: ServingMetrics;
   platform: ServingPlatform;
-  /** Lets entries share what they read of a topic. */
+  /**
+   * Wraps the store's source of a topic in one that can also read from peers.
+   */
   createRelayedSource: (
     topic: TopicName,
     source: KeyedSource,
     reads: ReadTracker,
   ) => ReadableSource;
-  /** Told of each configuration that comes into force. */
+  /** Called with each configuration that comes into force. */
   onConfig: (config: ServingConfig) => void;
-  /** Told when endpoints come, leave or go. */
+  /** Called when endpoints are added, start to leave or are removed. */
   onEndpoints: () => void;
-  /** Takes what the store says of entries. */
+  /** Receives the store's records of entries. */
   members: Pick<MemberRegistry, "replaceAll" | "apply">;
-  /** Told when the store has come back without what was written to it last. */
+  /**
+   * Called when the store was restored from an older copy that lacks recent
+   * writes.
+   */
   onRestored: () => void;
 }
 
-/** What an entry knows of its site. */
+/** An entry's local copy of the state of its site. */
 export interface SiteState {
-  /** The configuration in force; undefined before the first. */
+  /** Returns the configuration in force; undefined before the first. */
   readTable(): RouteTable | undefined;
-  /** The same as it was published. */
+  /** Returns the configuration in force as it was published. */
   readPublished(): string | undefined;
-  /** Takes what a peer has in force, if it is newer. */
+  /** Applies a peer's configuration if it is newer than the one in force. */
   applyPublished(value: string): void;
   readonly configAge: KnowledgeAge;
   readonly directory: EndpointDirectory;
-  /** Whether an endpoint is cold, or may be. */
+  /** Whether an endpoint is cold, or may be cold. */
   isCold(endpoint: EndpointInfo): boolean;
-  /** How long ago the store confirmed what is known of endpoints. */
+  /** Returns how long ago the store confirmed the endpoints. */
   readEndpointAge(): Millis;
-  /** Notes that nothing listened at an endpoint's address. */
+  /** Records that nothing listened at an endpoint's address. */
   recordUnreachable(endpoint: EndpointInfo): void;
-  /** The place of the endpoint at an address. */
+  /** Returns the place of the endpoint at an address. */
   findPlace(address: string): string | undefined;
-  /** All endpoints that may be listening at an address. */
+  /** Lists all endpoints that may be listening at an address. */
   listAt(address: string): readonly EndpointInfo[];
-  /** Passes topics on to other entries. */
+  /** The relays that serve each topic to other entries. */
   readonly relays: Readonly<Record<TopicName, TopicRelay>>;
-  /** How the configuration is read just now. */
+  /**
+   * Describes the current and the last read of the configuration, for log
+   * lines.
+   */
   describeConfigReads(): DecisionFields;
   /** Whether endpoints were read at least once. */
   hasEndpoints(): boolean;
@@ -95,19 +104,22 @@
   follow(signal: AbortSignal): Promise<void>;
 }
 
-/** Entries lapsed in an outage come back within two seconds. */
+/**
+ * Endpoints that expired during an outage of the store return within two
+ * seconds.
+ */
 const RECOVERY_GRACE: Millis = 1_800;
-/** A guess that an endpoint has left is believed this long without confirmation. */
+/** An unconfirmed mark that an endpoint is leaving expires after this. */
 const LEAVING_MARK_TTL: Millis = 4_000;
 
-/** Lines about records that cannot be read, at most. */
+/** Maximum number of log lines about records that cannot be decoded. */
 const MAX_UNDECODABLE = 200;
 
 function readValue({ value }: KeyedRecord): string {
   return value ?? "";
 }
 
-/** Creates the knowledge of an entry that has read nothing yet. */
+/** Creates the state of an entry that has read nothing yet. */
 export function createSiteState(
   options: SiteStateOptions,
 ): SiteState {
@@ -118,9 +130,9 @@
   let published: string | undefined;
   let isEndpointsKnown = false;
   let isMembersKnown = false;
-  /** Endpoints by their address, which may become another's. */
+  /** Endpoints by address; an address may be reused by another endpoint. */
   let byAddress: ReadonlyMap<string, readonly EndpointInfo[]> = new Map();
-  /** Keys whose records could not be read. */
+  /** Keys of records that could not be decoded. */
   const undecodable = new Set<string>();
   const configAge = createKnowledgeAge({ clock, readWallTime });
   const endpointAge = createKnowledgeAge({ clock, readWallTime });
@@ -203,7 +215,8 @@
     }
     const config = decoded.value;
     const version = table?.config.version ?? 0;
-    // Versions only rise: a late answer of the store must not revert.
+    // Versions only rise: a late response of the store must not revert to an
+    // older configuration.
     if (config.version <= version) return;
     table = createRouteTable(config);
     published = value;
@@ -289,7 +302,7 @@
       }
       const [endpoint] = readEndpoint(record);
       if (endpoint !== undefined) putEndpoint(endpoint);
-      // The newest word under its id names nothing that can be used.
+      // The newest record of this id does not describe a usable endpoint.
       else roster.remove(record.key);
     },
     recordConfirmed: endpointAge.noteConfirmed,
@@ -351,7 +364,7 @@
     return [];
   }
 
-  /** Others write there too, again and again: one line for each key. */
+  /** Logs one line per key: other writers may write to the topic repeatedly. */
   function recordUndecodable(key: string, reason: string): void {
     if (undecodable.has(key) || undecodable.size >= MAX_UNDECODABLE) return;
     undecodable.add(key);
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_knowledge_test.ts
@@ -10,7 +10,7 @@
 import { createSiteState } from "./site_knowledge.ts";
 import { createPosition, createTestEndpoint } from "./test_support.ts";
 
-/** Readings of the endpoints' topic, one after the other. */
+/** Creates a topic source that returns the given reads in order. */
 function createSource(readings: readonly (readonly KeyedRecord[])[]) {
   let next = 0;
   const read = () => {
@@ -29,7 +29,7 @@
     : Result.err("it is malformed");
 }
 
-describe("knowledge of a site", () => {
+describe("site state", () => {
   async function follow(
     readings: readonly (readonly KeyedRecord[])[],
     published: readonly (readonly KeyedRecord[])[] = [],
@@ -71,18 +71,19 @@
     return { usable, warnings };
   }
 
-  // Others write into the topic of the endpoints, again and again. What they
-  // write names no endpoint, and a line for each reading would hide all others.
-  it("tells a record that cannot be read once", async () => {
+  // Other writers may write repeatedly to the topic of the endpoints. Their
+  // records describe no endpoint, and a line for each read would flood the log.
+  it("logs a record that cannot be decoded only once", async () => {
     const page = [{ key: "e1", value: "good" }, { key: "other", value: "?" }];
     const { usable, warnings } = await follow([page, page, page]);
     expect(usable).to.deep.equal(["e1"]);
     expect(warnings).to.deep.equal(["other"]);
   });
 
-  // The newest record under an endpoint's id is another writer's: it names
-  // nothing to use. The endpoint's next heartbeat brings it back.
-  it("uses no endpoint whose newest record cannot be read", async () => {
+  // The newest record with an endpoint's id was written by another writer and
+  // describes nothing usable. The endpoint's next heartbeat makes it usable
+  // again.
+  it("uses no endpoint whose newest record cannot be decoded", async () => {
     const good = [{ key: "e1", value: "good" }, { key: "e2", value: "good" }];
     const spoilt = [{ key: "e1", value: "?" }];
     expect((await follow([good, spoilt])).usable).to.deep.equal(["e2"]);
@@ -91,9 +92,9 @@
       .to.have.members(["e1", "e2"]);
   });
 
-  // The operator empties a place: its endpoints go on serving what they have, and
-  // say of themselves that they are ready.
-  it("uses no endpoint of an evacuated place until it is back", async () => {
+  // The operator evacuates a place: its endpoints continue to serve the
+  // requests that they have, and still report that they are ready.
+  it("uses no endpoint of an evacuated place until it is cleared", async () => {
     const endpoints = [
       { key: "e1", value: "good a" },
       { key: "e2", value: "good b" },
--- a/packages/serving/src/store_access.ts
+++ b/packages/serving/src/store_access.ts
@@ -2,8 +2,8 @@
  * Tracks whether the store answers this entry, and when to probe it again.
  *
  * If the store does not serve an entry that reads for others, each read would
- * wait for the store first and its data would go stale meanwhile. The entry reads
- * from its peers instead and probes the store in the background.
+ * wait for the store first and its data would go stale meanwhile. The entry
+ * reads from its peers instead and probes the store in the background.
  *
  * @module
  */
@@ -19,7 +19,9 @@
   reserveProbe(): boolean;
 }
 
-/** Jittered, so that entries that lost the store together do not retry together. */
+/**
+ * Jittered, so that entries that lost the store together do not retry together.
+ */
 const PROBE_INTERVAL: Millis = 1_000;
 
 /** Creates the tracker of an entry that has not called the store yet. */
--- a/packages/serving/src/store_access_test.ts
+++ b/packages/serving/src/store_access_test.ts
@@ -2,8 +2,8 @@
 import { expect } from "chai";
 import { createStoreHealth } from "./store_access.ts";
 
-describe("access to the store", () => {
-  it("tries a lost store once a second until it answers", async () => {
+describe("health of the store", () => {
+  it("probes an unreachable store once a second until it answers", async () => {
     const clock = createFakeClock(0);
     const access = createStoreHealth(clock, () => 0.5);
     expect([access.isUnreachable(), access.reserveProbe()]).to.deep.equal([
@@ -14,7 +14,7 @@
     const probedAt: number[] = [];
     while (clock.now() < 3_500) {
       if (access.reserveProbe()) probedAt.push(clock.now());
-      // Other calls that fail do not put it off.
+      // Other calls that fail do not delay the probe.
       access.recordFailure();
       await clock.advance(100);
     }
--- a/packages/serving/src/topic_asker.ts
+++ b/packages/serving/src/topic_asker.ts
@@ -15,12 +15,12 @@
 export interface TopicRequestBatcherOptions {
   clock: Clock;
   /**
-   * Resolves to the replies in the order of the questions, or to undefined if the
+   * Resolves to the replies in the order of the queries, or to undefined if the
    * entry does not answer.
    */
   send: (
     address: string,
-    questions: readonly TopicQuestion[],
+    queries: readonly TopicQuestion[],
   ) => Promise<readonly TopicNews[] | undefined>;
 }
 
@@ -29,7 +29,7 @@
   /** Resolves to undefined if the entry does not answer. */
   request(
     address: string,
-    question: TopicQuestion,
+    query: TopicQuestion,
   ): Promise<TopicNews | undefined>;
 }
 
@@ -37,8 +37,8 @@
 const BATCH_WINDOW: Millis = 30;
 
 interface PendingRequest {
-  question: TopicQuestion;
-  resolve: (news: TopicNews | undefined) => void;
+  query: TopicQuestion;
+  resolve: (reply: TopicNews | undefined) => void;
 }
 
 /** Creates the request batcher of one entry. */
@@ -50,45 +50,45 @@
   async function sendBatch(address: string): Promise<void> {
     const pending = batches.get(address) ?? [];
     batches.delete(address);
-    const news = await send(address, pending.map(({ question }) => question));
-    pending.forEach(({ resolve }, index) => resolve(news?.[index]));
+    const reply = await send(address, pending.map(({ query }) => query));
+    pending.forEach(({ resolve }, index) => resolve(reply?.[index]));
   }
 
   function enqueueRequest(
     address: string,
-    question: TopicQuestion,
+    query: TopicQuestion,
   ): Promise<TopicNews | undefined> {
     return new Promise((resolve) => {
       const pending = batches.get(address);
       if (pending !== undefined) {
-        pending.push({ question, resolve });
+        pending.push({ query, resolve });
         return;
       }
-      batches.set(address, [{ question, resolve }]);
+      batches.set(address, [{ query, resolve }]);
       clock.startTimer(BATCH_WINDOW, () => void sendBatch(address));
     });
   }
 
   async function request(
     address: string,
-    question: TopicQuestion,
+    query: TopicQuestion,
   ): Promise<TopicNews | undefined> {
     // A request without a wait is a retry that has lost time already.
-    if (question.wait > 0) return await enqueueRequest(address, question);
-    return (await send(address, [question]))?.[0];
+    if (query.wait > 0) return await enqueueRequest(address, query);
+    return (await send(address, [query]))?.[0];
   }
 
   return { request };
 }
 
-/** Answers all questions as soon as the first of them is answered. */
+/** Answers all queries as soon as the first of them is answered. */
 export async function handleTopicRequests(
   relays: Readonly<Record<TopicName, Pick<TopicRelay, "answer">>>,
-  questions: readonly TopicQuestion[],
+  queries: readonly TopicQuestion[],
 ): Promise<TopicNews[]> {
   const controller = new AbortController();
-  const answers = questions.map((question) =>
-    relays[question.topic].answer(question, controller.signal)
+  const answers = queries.map((query) =>
+    relays[query.topic].answer(query, controller.signal)
   );
   await Promise.race(answers);
   controller.abort();
--- a/packages/serving/src/topic_asker_test.ts
+++ b/packages/serving/src/topic_asker_test.ts
@@ -22,7 +22,7 @@
   return { topic, from: createPosition(1), wait, confirmWait: 0 };
 }
 
-describe("asking about several topics", () => {
+describe("topic request batcher", () => {
   function create(answer?: readonly TopicNews[]) {
     const clock = createFakeClock(0);
     const sent: string[] = [];
@@ -37,9 +37,9 @@
     return { clock, sent, asker };
   }
 
-  // Eighty entries at rest asked their relays four times a second each, which
-  // took more processor than all requests.
-  it("sends what is asked of one entry together", async () => {
+  // Unbatched, 80 idle entries made four requests a second each to their
+  // relays, which took more processor time than all callers' requests.
+  it("sends requests to one entry in one message", async () => {
     const { clock, sent, asker } = create([NEWS, { kind: "unknown" }]);
     const first = asker.request("a", createQuestion("config", 300));
     await clock.advance(20);
@@ -52,8 +52,9 @@
     expect(await other).to.deep.equal(NEWS);
   });
 
-  // The entry that was asked first is silent; a key may have been taken away.
-  it("does not let a question wait that must not", async () => {
+  // The entry that was asked first does not answer; a key may have been
+  // revoked.
+  it("sends a request without a wait at once", async () => {
     const { sent, asker } = create();
     expect(await asker.request("a", createQuestion("config", 0))).to.equal(
       undefined,
@@ -61,7 +62,7 @@
     expect(sent).to.deep.equal(["a config"]);
   });
 
-  it("answers all once one has news", async () => {
+  it("answers all requests once one has an update", async () => {
     const clock = createFakeClock(0);
     const waits = { config: 500, endpoints: 200, members: 3_000 };
     const createRelay = (wait: Millis) => ({
--- a/packages/serving/src/topic_readers_test.ts
+++ b/packages/serving/src/topic_readers_test.ts
@@ -7,7 +7,7 @@
 
 const PLACES = ["a", "b", "c", "d", "e", "f"];
 
-/** Whom each entry of a fleet that knows all others asks. */
+/** The parents of each entry in a fleet whose entries all know each other. */
 function chooseAll(
   size: number,
   { strong = size, state = "live" }: { strong?: number; state?: PeerState } =
@@ -32,7 +32,7 @@
   });
 }
 
-describe("readers of the store", () => {
+describe("relay tree of a topic", () => {
   const SIZES = [
     { size: 1, strong: 1, readers: 1, relays: 0 },
     { size: 2, strong: 2, readers: 1, relays: 1 },
@@ -44,7 +44,7 @@
     { size: 1_000, strong: 90, readers: 3, relays: 84 },
   ];
   for (const { size, strong, readers, relays } of SIZES) {
-    it(`are ${readers} of ${size} entries; ${relays} are asked`, () => {
+    it(`has ${readers} store readers of ${size} entries, ${relays} parents`, () => {
       const all = chooseAll(size, { strong });
       expect(all.filter(({ isReader }) => isReader).length).to.equal(readers);
       const asking = all.filter(({ isReader }) => !isReader);
@@ -53,7 +53,7 @@
     });
   }
 
-  it("are asked by some twelve entries each, mostly of their place", () => {
+  it("gives each parent about twelve children of its own place", () => {
     const all = chooseAll(195, { strong: 18 });
     const leaves = all.filter(({ storePause }) => storePause > 0);
     const firsts = leaves.flatMap(({ addresses }) => addresses.slice(0, 1));
@@ -70,24 +70,25 @@
     expect(near.length).to.equal(leaves.length);
   });
 
-  // All have just started, or the store has been away for seconds: nobody is
-  // ready. Taken for leaving, each would read the store for itself.
-  it("are the same while no entry is ready", () => {
+  // All entries have just started, or the store has been unavailable for
+  // seconds, so no entry is ready. If unready entries were treated as leaving,
+  // each would read the store itself.
+  it("is the same while no entry is ready", () => {
     const ready = chooseAll(66, { strong: 12 });
     const unready = chooseAll(66, { strong: 12, state: "unready" });
     expect(unready.map(({ addresses }) => addresses))
       .to.deep.equal(ready.map(({ addresses }) => addresses));
   });
 
-  // Two relays that ask each other would each take the other's old knowledge
-  // for young for ever.
-  it("never wait for each other", () => {
+  // Two relays that read from each other would keep taking each other's stale
+  // data for fresh.
+  it("has no relays that wait for each other", () => {
     const all = chooseAll(195, { strong: 18 });
     const asks = new Map(
       all.map(({ self, addresses }) => [self.controlAddress, addresses]),
     );
     for (const { self, isReader, addresses } of all) {
-      // A reader asks others at once, and only what they know.
+      // A store reader asks others without a wait, for the data that they have.
       if (isReader) continue;
       for (const parent of addresses) {
         const isReaderAsked = all.find((one) =>
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -31,8 +31,8 @@
   /** Tracks how long ago the store confirmed the relayed data. */
   age: KnowledgeAge;
   /**
-   * Returns a record's content without heartbeats. A record with the same content
-   * as the previous one of its key is not relayed.
+   * Returns a record's content without heartbeats. A record with the same
+   * content as the previous one of its key is not relayed.
    */
   readContent: (record: KeyedRecord) => string;
 }
@@ -42,18 +42,20 @@
   /** The source for this entry; records that it reads are relayed to others. */
   readonly source: KeyedSource;
   /**
-   * Answers another entry. If there is no update, waits as long as the question
+   * Answers another entry. If there is no update, waits as long as the query
    * says, or until the signal aborts.
    */
   answer(
-    question: TopicQuestion,
+    query: TopicQuestion,
     signal?: AbortSignal,
   ): Promise<TopicNews>;
 }
 
 interface WaitingRequest {
   from: TopicPosition;
-  /** From this time on, a confirmation without updates is a sufficient answer. */
+  /**
+   * From this time on, a confirmation without updates is a sufficient answer.
+   */
   confirmableAt: Millis;
   wake: () => void;
 }
@@ -85,7 +87,9 @@
   const newest = new Map<string, KnownRecord>();
   /** Whether `newest` holds every key of the topic. */
   let isComplete = false;
-  /** Requests that wait for updates, or for this entry to catch up with them. */
+  /**
+   * Requests that wait for updates, or for this entry to catch up with them.
+   */
   const waiting = new Set<WaitingRequest>();
 
   /** Returns whether the record changes the content of its key. */
@@ -108,8 +112,8 @@
 
   /**
    * A restored copy of the store may hold endpoints that have left since. Only
-   * live ones write again, and that record must be relayed even if its content is
-   * unchanged.
+   * live ones write again, and that record must be relayed even if its content
+   * is unchanged.
    */
   function markUnverified(): void {
     for (const known of newest.values()) known.content = undefined;
@@ -126,33 +130,33 @@
   /** Returns whether any record changed the content of its key. */
   function applyChanges(
     { offset: from }: TopicPosition,
-    reading: KeyedReading,
+    result: KeyedReading,
   ): boolean {
-    const news = reading.records
+    const updates = result.records
       .map((record, index) => ({
         key: record.key,
         value: record.value,
         offset: record.offset ?? from + index,
       }))
       .filter(updateKey);
-    changes.push(...news);
+    changes.push(...updates);
     const excess = changes.splice(
       0,
       Math.max(0, changes.length - MAX_BUFFERED_CHANGES),
     );
     firstBuffered = Math.max(firstBuffered, (excess.at(-1)?.offset ?? -1) + 1);
-    next = reading.next;
-    return news.length > 0;
+    next = result.next;
+    return updates.length > 0;
   }
 
   function resolveReady(
-    isNewsThere: boolean,
+    isUpdated: boolean,
     before: TopicPosition | undefined,
   ): void {
     const now = clock.now();
     for (const { from, confirmableAt, wake } of [...waiting]) {
       const isCaughtUp = isAhead(from, before) && !isAhead(from, next);
-      if (isNewsThere || isCaughtUp || now >= confirmableAt) wake();
+      if (isUpdated || isCaughtUp || now >= confirmableAt) wake();
     }
   }
 
@@ -160,45 +164,47 @@
     return source.mayRelay?.() ?? true;
   }
 
-  /** Ends all waits, so that no request waits for an entry that may not relay. */
+  /**
+   * Ends all waits, so that no request waits for an entry that may not relay.
+   */
   function resolveAll(): void {
     for (const { wake } of [...waiting]) wake();
   }
 
   function recordConfirmed(
-    askedAt: KnowledgeTime,
-    { age: old = 0 }: KeyedReading,
+    requestedAt: KnowledgeTime,
+    { age: dataAge = 0 }: KeyedReading,
   ) {
     age.noteConfirmed({
-      monotonic: askedAt.monotonic - old,
-      wall: askedAt.wall - old,
+      monotonic: requestedAt.monotonic - dataAge,
+      wall: requestedAt.wall - dataAge,
     });
   }
 
   async function readNewest() {
-    const askedAt = age.readTime();
-    const reading = await source.readNewest();
-    if (reading.isErr) return reading;
-    applyNewest(reading.value);
-    recordConfirmed(askedAt, reading.value);
+    const requestedAt = age.readTime();
+    const result = await source.readNewest();
+    if (result.isErr) return result;
+    applyNewest(result.value);
+    recordConfirmed(requestedAt, result.value);
     resolveReady(true, next);
-    return reading;
+    return result;
   }
 
   async function readFrom(from: TopicPosition, wait: Millis) {
-    const askedAt = age.readTime();
-    const reading = await source.readFrom(from, wait);
+    const requestedAt = age.readTime();
+    const result = await source.readFrom(from, wait);
     if (!mayRelay()) resolveAll();
-    if (reading.isErr) return reading;
+    if (result.isErr) return result;
     const before = next;
-    let isNewsThere = true;
-    if (reading.value.isNewest) applyNewest(reading.value);
+    let isUpdated = true;
+    if (result.value.isNewest) applyNewest(result.value);
     // The records in between were read elsewhere and are not buffered here.
-    else if (!isSamePosition(from, next)) resetTo(reading.value.next);
-    else isNewsThere = applyChanges(from, reading.value);
-    recordConfirmed(askedAt, reading.value);
-    resolveReady(isNewsThere, before);
-    return reading;
+    else if (!isSamePosition(from, next)) resetTo(result.value.next);
+    else isUpdated = applyChanges(from, result.value);
+    recordConfirmed(requestedAt, result.value);
+    resolveReady(isUpdated, before);
+    return result;
   }
 
   function createReply(from: TopicPosition, arrivedAt: Millis): TopicNews {
@@ -220,31 +226,31 @@
   ): Promise<void> {
     return new Promise((resolve) => {
       const wake = () => {
-        waiting.delete(asker);
+        waiting.delete(waitingRequest);
         stop();
         signal?.removeEventListener("abort", wake);
         resolve();
       };
       const stop = clock.startTimer(wait + confirmWait, wake);
-      const asker = { from, confirmableAt: clock.now() + wait, wake };
-      waiting.add(asker);
+      const waitingRequest = { from, confirmableAt: clock.now() + wait, wake };
+      waiting.add(waitingRequest);
       signal?.addEventListener("abort", wake, { once: true });
     });
   }
 
   async function answer(
-    question: TopicQuestion,
+    query: TopicQuestion,
     signal?: AbortSignal,
   ): Promise<TopicNews> {
-    const { from, wait } = question;
+    const { from, wait } = query;
     const arrivedAt = clock.now();
-    const news = createReply(from, arrivedAt);
-    // A requester that has read elsewhere may be ahead; the wait lets this entry
-    // catch up with it.
-    const isSomethingNew = news.kind === "newest" ||
-      (news.kind === "records" && news.records.length > 0);
-    if (isSomethingNew || wait === 0 || !mayRelay()) return news;
-    await waitForUpdate(question, signal);
+    const reply = createReply(from, arrivedAt);
+    // A requester that has read elsewhere may be ahead; the wait lets this
+    // entry catch up with it.
+    const hasUpdate = reply.kind === "newest" ||
+      (reply.kind === "records" && reply.records.length > 0);
+    if (hasUpdate || wait === 0 || !mayRelay()) return reply;
+    await waitForUpdate(query, signal);
     return createReply(from, arrivedAt);
   }
 
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -6,7 +6,7 @@
 import { createPosition } from "./test_support.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
-/** Records `key=content/heartbeat`. */
+/** Creates a read result from records written as `key=content/heartbeat`. */
 function createReading(next: number, ...texts: string[]): KeyedReading {
   const records = texts.map((text) => {
     const [key = "", value] = text.split("=");
@@ -15,7 +15,7 @@
   return { records, next: createPosition(next) };
 }
 
-describe("relay of a topic", () => {
+describe("topic relay", () => {
   async function create(...changes: (KeyedReading | KeyedFault)[]) {
     const clock = createFakeClock(0);
     const relay = createTopicRelay({
@@ -57,16 +57,16 @@
     return { clock, relay, readOn, ask };
   }
 
-  it("passes on what changed, with the store's offsets", async () => {
+  it("relays changes with the store's offsets", async () => {
     const { readOn, ask } = await create(createReading(7, "b=1/1", "a=2/1"));
     await readOn(5);
     expect(await ask(5)).to.equal("b=1/1 a=2/1 next 7 age 0");
     expect(await ask(6)).to.equal("a=2/1 next 7 age 0");
   });
 
-  // Heartbeats of eighty endpoints, passed on to ninety entries, fill the link of
-  // the smallest instance; they say nothing new.
-  it("leaves out heartbeats, not what comes after a removal", async () => {
+  // Heartbeats of 80 endpoints relayed to 90 entries would fill the network
+  // link of the smallest instance, and they change no content.
+  it("leaves out heartbeats, except the first after a removal", async () => {
     const { readOn, ask } = await create(
       createReading(8, "a=1/2", "a=", "a=1/3"),
     );
@@ -74,9 +74,9 @@
     expect(await ask(5)).to.equal("a=undefined a=1/3 next 8 age 0");
   });
 
-  // Taken for the store's word, that of a reader which has lost the store keeps
-  // its askers from reading the store.
-  it("tells nothing at a reader that has lost the store", async () => {
+  // If the data of a reader that has lost the store passed for the store's, its
+  // children would not read the store themselves.
+  it("relays nothing while the reader has lost the store", async () => {
     const clock = createFakeClock(0);
     let isLost = false;
     const relay = createTopicRelay({
@@ -107,22 +107,22 @@
     expect((await answer).kind).to.equal("records");
   });
 
-  it("tells how long ago the store confirmed what it knows", async () => {
+  it("reports how long ago the store confirmed its data", async () => {
     const { readOn, ask, clock } = await create("unavailable");
     await clock.advance(700);
     await readOn(5);
     expect(await ask(5)).to.equal(" next 5 age 700");
   });
 
-  it("knows nothing of records behind what it has read", async () => {
+  it("does not answer for offsets that it has not reached", async () => {
     const { ask } = await create();
     expect(await ask(6)).to.equal("unknown");
   });
 
-  // After a start of all, entries have read the newest records at offsets a few
-  // heartbeats apart. Sent to the store for the few in between, those before
-  // their relay would never get away from it.
-  it("tells the newest record of each key to who lies far behind", async () => {
+  // After a start of all entries, their snapshots are a few heartbeats apart.
+  // If entries had to read the few records in between from the store, those
+  // that are behind their relay would keep reading the store.
+  it("sends a snapshot to an entry that is too far behind", async () => {
     const { readOn, ask } = await create(
       createReading(7, "b=1/1", "a="),
     );
@@ -130,17 +130,17 @@
     expect(await ask(4)).to.equal("all: b=1/1 next 7 age 0");
   });
 
-  // While another entry read the store for it, this one kept nothing. Records in
-  // between would be missed by whoever trusted it.
-  it("begins anew where it did not read itself", async () => {
+  // While this entry read elsewhere, it buffered nothing. An entry that relied
+  // on its buffer would miss the records in between.
+  it("resets its buffer where it did not read itself", async () => {
     const { readOn, ask } = await create(createReading(10, "b=1/1"));
     await readOn(9);
     expect(await ask(5)).to.equal("unknown");
     expect(await ask(10)).to.equal(" next 10 age 0");
   });
 
-  // An entry has read the store itself a moment after the reader did. Sent back
-  // to the store for that, it would be ahead again the next time.
+  // An entry has read the store a moment after the reader did. If it were sent
+  // back to the store for that, it would be ahead again the next time.
   it("catches up with an entry that is ahead of it", async () => {
     const { relay, readOn } = await create(createReading(7, "b=1/1", "c=1/1"));
     const news = relay.answer({
@@ -175,9 +175,10 @@
     });
   });
 
-  // Answered by the clock, knowledge grows older by a wait with every entry that
-  // passes it on; right after a confirmation it is as young as it can be.
-  it("answers after the wait once it is confirmed anew", async () => {
+  // If the relay answered when the wait is over, data would get older by one
+  // wait with each relay. Right after a confirmation it is as fresh as
+  // possible.
+  it("answers after the wait as soon as its data is confirmed", async () => {
     const { relay, readOn, clock } = await create(createReading(5));
     let news: unknown;
     void relay.answer({
@@ -199,8 +200,8 @@
     });
   });
 
-  // Its reader is frozen, or the store is: whoever waits must ask elsewhere.
-  it("tells how old it is when nothing confirms it for long", async () => {
+  // The store or the reader is frozen: the requester must ask elsewhere.
+  it("reports the age of its data if nothing confirms it in time", async () => {
     const { relay, clock } = await create();
     const news = relay.answer({
       topic: "config",
@@ -217,9 +218,10 @@
     });
   });
 
-  // The relay reads at another entry, which leaves heartbeats out: offsets must
-  // be the store's, or an entry that changes relays would miss a record.
-  it("keeps the offsets of records that another entry passed on", async () => {
+  // The relay reads from another entry, which leaves out heartbeats. Offsets
+  // must be those of the store, or an entry that changes relays would miss a
+  // record.
+  it("keeps the offsets of records that another entry relayed", async () => {
     const { readOn, ask } = await create({
       records: [{ key: "b", value: "1/1", offset: 8 }],
       next: createPosition(9),
@@ -230,10 +232,11 @@
     expect(await ask(9)).to.equal(" next 9 age 0");
   });
 
-  // The store comes back from a copy: an endpoint that has left is in it again,
-  // and offsets are given out anew. Whoever asks with a position of before gets
-  // everything, and then what lives: only that writes again, though nothing new.
-  it("begins anew with an era, and passes on who writes in it", async () => {
+  // The store is restored from an older copy: an endpoint that has left is in
+  // it again, and offsets are reused. A requester with a position of the old
+  // era gets a snapshot, and then the next record of each live endpoint,
+  // although its content is unchanged: only live endpoints write again.
+  it("resets in a new era and relays each key's next record", async () => {
     const copy = { ...createReading(3, "a=1/1", "b=1/1"), isNewest: true };
     const { readOn, ask } = await create(
       { ...copy, next: createPosition(3, 1) },
@@ -248,7 +251,7 @@
     expect(await ask(4, { era: 1 })).to.equal(" next 5 of era 1 age 0");
   });
 
-  it("knows nothing of an era that it has not read", async () => {
+  it("does not answer for an era that it has not read", async () => {
     const { ask } = await create();
     expect(await ask(2, { era: 1 })).to.equal("unknown");
   });
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -1,6 +1,6 @@
 /**
- * Replays how a whole fleet reads the platform's store: many entries, each with
- * the sources and relays that a process has, before one store.
+ * Simulates how a whole fleet reads the platform's store: many entries, each
+ * with the sources and relays of a real process, and one store.
  *
  * @module
  */
@@ -24,7 +24,7 @@
 const PLACES = ["a", "b", "c", "d", "e", "f"];
 const STORE_DELAY: Millis = 4;
 const PEER_DELAY: Millis = 3;
-/** What a silent store or peer costs, as their clients are limited. */
+/** Time after which a call to an unresponsive store fails. */
 const CALL_TIMEOUT: Millis = 1_000;
 const PEER_SLACK: Millis = 300;
 
@@ -36,26 +36,26 @@
   listReaders(): number[];
   /** Publishes a configuration. */
   publish(): void;
-  /** Publishes one that ends no wait which began a moment before. */
+  /** Publishes a configuration without ending waits that began before it. */
   publishUnseen(): void;
-  /** The store comes back from a copy that lacks the last records. */
+  /** Restores the store from a copy that lacks the last `lost` records. */
   restore(lost: number): void;
-  /** The store does not answer these entries. */
+  /** Entries that get no response from the store. */
   cutOff: Set<number>;
-  /** The store answers these entries at once that it does not serve them. */
+  /** Entries that the store refuses at once. */
   refused: Set<number>;
-  /** These entries answer nobody. */
+  /** Entries that do not answer peers. */
   silent: Set<number>;
-  /** Entries whose version is the newest. */
+  /** Counts the entries that have the newest version. */
   countUpToDate(): number;
-  /** How old the configuration is at each entry. */
+  /** Lists the age of the data of each entry. */
   listAges(): Millis[];
-  /** The oldest that it was at an entry which the store answers. */
+  /** Returns the highest age at an entry that gets responses from the store. */
   readOldestAge(): Millis;
   stop(): void;
 }
 
-/** A fleet of which one in eleven is strong, as a mixed one is. */
+/** Starts a mixed fleet in which one entry in eleven has a high capacity. */
 function startFleet(
   size: number,
   { storeDelay = STORE_DELAY, topic = "config", seed = 7 }: {
@@ -77,7 +77,7 @@
   const silent = new Set<number>();
   let version = 1;
   let era = 0;
-  /** Versions by the offset at which they lie. */
+  /** Versions by offset. */
   let written = [1];
   const polls = new Set<() => void>();
 
@@ -157,7 +157,7 @@
         topic,
         source: createStore(index),
         chooseParents: () => chooseTopicParents(membership),
-        ask: askPeer,
+        request: requestFromPeer,
         timing,
         reads: createReadTracker({ clock, onEnd: () => {} }),
       }),
@@ -171,7 +171,7 @@
     };
   });
 
-  async function askPeer(
+  async function requestFromPeer(
     address: string,
     question: TopicQuestion,
   ): Promise<TopicNews | undefined> {
@@ -182,7 +182,7 @@
       await clock.sleep(PEER_DELAY);
       const news = await entries[index]?.relay.answer(question);
       await clock.sleep(PEER_DELAY);
-      // One that has died meanwhile does not answer any more.
+      // An entry that has died in the meantime does not answer any more.
       return silent.has(index) ? await givenUp : news;
     }
     return await Promise.race([answer(), givenUp]);
@@ -240,7 +240,7 @@
   };
 }
 
-/** The oldest that a reading of the fleet's ages was while it ran on. */
+/** Advances the fleet's clock and returns the highest age seen meanwhile. */
 async function measureOldest(
   { clock }: Fleet,
   { duration, readAge }: { duration: Millis; readAge: () => Millis },
@@ -263,12 +263,12 @@
   { size: 195, limit: 2_400 },
 ];
 
-describe("a fleet before one store", () => {
-  // The store is paid by the call. Each entry for itself, or back to the store
-  // whenever its reader's last confirmation is a second old, would make some
-  // three hundred calls a second at 195 entries.
+describe("fleet that reads one store", () => {
+  // Calls to the store are billed. If each entry read the store itself, or went
+  // back to it whenever its reader's last confirmation is a second old, 195
+  // entries would make about 300 calls a second.
   for (const size of [8, 20, 66, 195]) {
-    it(`of ${size} calls it as often as its readers do`, async () => {
+    it(`of ${size}: only the store readers call the store`, async () => {
       const fleet = startFleet(size);
       await fleet.clock.advance(12_000);
       fleet.stop();
@@ -278,10 +278,10 @@
     });
   }
 
-  // The store takes 350 ms for each answer. Passed over because nobody knows
-  // anything young, all relays would lose their askers to the store, which is
-  // slow for having too much to do.
-  it("keeps to its readers before a slow store", async () => {
+  // The store takes 350 ms for each response, so no entry has fresh data. If
+  // relays were skipped for that, all their children would read the store,
+  // which is slow because it is overloaded.
+  it("keeps reading through its readers while the store is slow", async () => {
     const fleet = startFleet(195, { storeDelay: 350 });
     await fleet.clock.advance(12_000);
     fleet.stop();
@@ -290,7 +290,7 @@
     expect(Math.max(...fleet.listAges())).to.be.at.most(2_600);
   });
 
-  it("knows a change everywhere in a tenth of a second", async () => {
+  it("propagates a change to all entries in 100 ms", async () => {
     const fleet = startFleet(195);
     await fleet.clock.advance(4_000);
     fleet.publish();
@@ -299,10 +299,11 @@
     expect(fleet.countUpToDate()).to.equal(195);
   });
 
-  // Serves by a replaced configuration: a wait that begins while the store takes a
-  // record is not ended by it, and the readers hear of it when the wait is over.
+  // A long poll that begins while the store accepts a record is not ended by
+  // that record, so the readers get it only when the wait is over. Until then,
+  // entries serve with a replaced configuration.
   for (const size of [8, 195]) {
-    it(`of ${size} knows a change that ended no wait`, async () => {
+    it(`of ${size} propagates a change that ended no wait`, async () => {
       const fleet = startFleet(size);
       await fleet.clock.advance(4_000);
       fleet.publishUnseen();
@@ -313,11 +314,12 @@
     });
   }
 
-  // The store comes back from a copy without the last three records, and the
-  // offset that all have read to is given out again later. Read on from there,
-  // the fleet would keep a key that was taken away after the copy came back.
+  // The store is restored from a copy without the last three records, and the
+  // offset that all entries have reached is reused later. If the fleet
+  // continued from that offset, it would keep a key that is revoked after the
+  // restore.
   for (const size of [8, 195]) {
-    it(`of ${size} hears of changes after a copy came back`, async () => {
+    it(`of ${size} propagates changes after a restore`, async () => {
       const fleet = startFleet(size);
       await fleet.clock.advance(4_000);
       for (let change = 0; change < 4; change++) fleet.publish();
@@ -333,13 +335,13 @@
     });
   }
 
-  // All readers freeze, or their place loses power: a key that is taken away in
-  // that moment must not open anything for long.
-  it("finds other readers when all of them fall silent", async () => {
+  // All readers freeze, or their place loses power. A key that is revoked in
+  // that moment must soon be refused.
+  it("finds other readers when all of them stop answering", async () => {
     const fleet = startFleet(195);
     await fleet.clock.advance(4_000);
     const strong = Array.from({ length: 18 }, (_, index) => index * 11);
-    // Whoever called the store in the last second reads it for the others.
+    // The first nine high-capacity entries stop, most likely with all readers.
     strong.slice(0, 9).forEach((index) => {
       fleet.silent.add(index);
       fleet.cutOff.add(index);
@@ -351,12 +353,13 @@
     expect(told).to.be.at.least(195 - 9);
   });
 
-  // All readers lose their power, and an endpoint says that it leaves: on a small
-  // site nothing may reach it 2 s later, on a large one 3 s. With questions that wait for 1.5 s and are given up 1.3 s later,
-  // requests still reached it 2.6 s after its word.
+  // All readers lose power, and an endpoint reports that it is leaving. No
+  // request may reach it more than 2 s later on a small site, 3 s on a large
+  // one. When requests to peers waited for 1.5 s and were given up 1.3 s later,
+  // requests still reached the endpoint 2.6 s after its report.
   for (const topic of ["config", "endpoints"] as const) {
     for (const { size, limit } of READERS_DIE) {
-      it(`of ${size} hears of ${topic} when its readers die`, async () => {
+      it(`of ${size} propagates ${topic} when its readers die`, async () => {
         const fleet = startFleet(size, { topic });
         await fleet.clock.advance(4_000);
         const readers = fleet.listReaders();
@@ -374,12 +377,12 @@
     }
   }
 
-  // The only reader of a small site is cut off from the store, which turns it
-  // away, and an endpoint says that it leaves a moment or a second later. Its
-  // askers must not take what it knew for news.
+  // The only reader of a small site loses the store, and an endpoint reports
+  // that it is leaving a moment or a second later. The reader's children must
+  // not take its old data for fresh.
   for (const topic of ["config", "endpoints"] as const) {
     for (const later of [50, 300, 700, 1_300]) {
-      it(`leaves a reader of ${topic} that is cut off, ${later}`, async () => {
+      it(`bypasses a reader without the store: ${topic}, ${later}`, async () => {
         const fleet = startFleet(7, { topic });
         await fleet.clock.advance(4_000);
         fleet.listReaders().forEach((reader) => fleet.cutOff.add(reader));
@@ -393,11 +396,12 @@
     }
   }
 
-  // The store turns three of eight entries away without a word, the only reader
-  // among them, and keys are taken away meanwhile. An entry that the store would
-  // have answered served one 2.05 s after its end: it had taken the reader's word
-  // at an age of 1.2 s, asked once more, and waited 0.7 s for what was too old.
-  it("does not wait at a reader for what will be too old", async () => {
+  // Three of eight entries, including the only reader, get no response from the
+  // store, and keys are revoked meanwhile. An entry that could reach the store
+  // accepted a key 2.05 s after its end: it had used the reader's data at an
+  // age of 1.2 s, asked again, and waited 0.7 s for data that was too old by
+  // then.
+  it("does not wait at a reader for data that will be too old", async () => {
     const BOUND = 2_000;
     const MARGIN = 150;
     let oldest = 0;
@@ -414,7 +418,10 @@
     expect(oldest).to.be.at.most(BOUND - MARGIN);
   });
 
-  /** How old a topic gets where the store turns so many of eight away. */
+  /**
+   * Returns the highest age in a fleet of eight with `count` entries without
+   * the store.
+   */
   async function readOldest(
     topic: TopicName,
     { fault, count, seed }: {
@@ -438,10 +445,11 @@
     return oldest;
   }
 
-  // Serves a key after it was taken away: the store turns entries away, the only
-  // reader among them, and they do not ask those that it answers.
+  // The store does not serve some entries, including the only reader. If they
+  // did not read from the entries that it serves, they would accept revoked
+  // keys.
   for (const topic of ["config", "endpoints"] as const) {
-    it(`tells ${topic} to entries that the store turns away`, async () => {
+    it(`propagates ${topic} to entries without the store`, async () => {
       const BOUND = 2_000;
       const MARGIN = 150;
       const late: string[] = [];
@@ -458,10 +466,10 @@
     });
   }
 
-  // Larger sites have three readers, all of them turned away at once, and longer
-  // bounds.
+  // Larger sites have three readers, all of which lose the store at once, and
+  // longer limits.
   for (const topic of ["config", "endpoints"] as const) {
-    it(`of 66 tells ${topic} to readers that are turned away`, async () => {
+    it(`of 66 propagates ${topic} to readers without the store`, async () => {
       const fleet = startFleet(66, { topic });
       await fleet.clock.advance(4_000);
       fleet.listReaders().forEach((reader) => fleet.cutOff.add(reader));
@@ -477,9 +485,10 @@
     });
   }
 
-  // A third of the fleet cannot reach the store, its readers among them: the
-  // others tell it what the store says, and no call is made in vain for long.
-  it("serves those that are cut off from the store", async () => {
+  // A third of the fleet, including the readers, cannot reach the store. It
+  // gets the store's data from the others, and soon stops making calls that
+  // fail.
+  it("propagates changes to entries without the store", async () => {
     const fleet = startFleet(195);
     await fleet.clock.advance(4_000);
     for (let index = 0; index < 195; index += 3) fleet.cutOff.add(index);
@@ -494,9 +503,10 @@
     expect(calls).to.be.at.most(20);
   });
 
-  // The store answers nobody for nine seconds. With everybody asking on, its
-  // limits would refuse those whose turn matters when it is back.
-  it("leaves a store alone that answers nobody", async () => {
+  // The store answers no entry for nine seconds. If all entries kept calling,
+  // the store's rate limits would refuse the calls that matter when it is
+  // available again.
+  it("backs off from a store that does not answer", async () => {
     const fleet = startFleet(195);
     await fleet.clock.advance(4_000);
     for (let index = 0; index < 195; index++) fleet.cutOff.add(index);
