--- a/packages/serving/src/keyed_follower_test.ts
+++ b/packages/serving/src/keyed_follower_test.ts
@@ -7,7 +7,7 @@
 
 type Script = (KeyedReading | KeyedFault)[];
 
-function createReading(next: number, ...keys: string[]): KeyedReading {
+function createResult(next: number, ...keys: string[]): KeyedReading {
   return {
     records: keys.map((key) => ({ key, value: key })),
     next: createPosition(next),
@@ -59,9 +59,9 @@
   }
 
   it("continues after the snapshot", async () => {
-    const seen = await follow([createReading(4, "a", "b")], [
-      createReading(5, "c"),
-      createReading(5),
+    const seen = await follow([createResult(4, "a", "b")], [
+      createResult(5, "c"),
+      createResult(5),
     ]);
     expect(seen.slice(0, 5))
       .to.deep.equal(["all a+b", "from 4", "one c", "from 5", "from 5"]);
@@ -71,7 +71,7 @@
   // ever, and the entry would keep its current configuration.
   it("reads a new snapshot when the history is gone", async () => {
     const seen = await follow(
-      [createReading(4, "a"), createReading(9, "a", "d")],
+      [createResult(4, "a"), createResult(9, "a", "d")],
       ["expired"],
     );
     expect(seen.slice(0, 4))
@@ -81,8 +81,8 @@
   // The store is restored from an older copy and reuses offsets. Reading from
   // the old offset would miss records written below it.
   it("reports a restore and reads a new snapshot in a new era", async () => {
-    const copy = { ...createReading(2, "a"), next: createPosition(2, 1) };
-    const seen = await follow([createReading(4, "a", "b"), copy], ["expired"]);
+    const copy = { ...createResult(2, "a"), next: createPosition(2, 1) };
+    const seen = await follow([createResult(4, "a", "b"), copy], ["expired"]);
     expect(seen.slice(0, 5)).to.deep.equal([
       "all a+b",
       "from 4",
@@ -94,9 +94,9 @@
 
   it("reports an outage and its end once, and misses no record", async () => {
     const outage = Array.from({ length: 8 }, () => "unavailable" as const);
-    const seen = await follow([createReading(4, "a")], [
+    const seen = await follow([createResult(4, "a")], [
       ...outage,
-      createReading(5, "b"),
+      createResult(5, "b"),
     ]);
     expect(seen.filter((step) => !step.startsWith("from")).slice(0, 4))
       .to.deep.equal(["all a", "away", "back", "one b"]);
@@ -107,10 +107,10 @@
   // store, an endpoint whose removal is read next would get requests for two
   // more seconds.
   it("does not report a short failure as an outage", async () => {
-    const seen = await follow([createReading(4, "a")], [
+    const seen = await follow([createResult(4, "a")], [
       "unavailable",
       "unavailable",
-      createReading(5, "b"),
+      createResult(5, "b"),
     ]);
     expect(seen.slice(0, 5))
       .to.deep.equal(["all a", "from 4", "from 4", "from 4", "one b"]);
@@ -128,7 +128,7 @@
       signal: controller.signal,
       source: {
         readNewest: () =>
-          Promise.resolve(Result.ok({ ...createReading(1), age: 700 })),
+          Promise.resolve(Result.ok({ ...createResult(1), age: 700 })),
         readFrom: () => Promise.resolve(Result.err("unavailable")),
       },
       sink: {
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -35,33 +35,33 @@
   });
 
   function create() {
-    const told: string[] = [];
+    const events: string[] = [];
     const registry = createMemberRegistry({
       decode: ({ value }) =>
         value === "?" ? undefined : createTestPeer(value ?? ""),
       onSnapshot: (records) =>
-        told.push(...records.map(({ entry }) => `listed ${entry}`)),
-      onJoined: ({ entry }) => told.push(`joined ${entry}`),
+        events.push(...records.map(({ entry }) => `listed ${entry}`)),
+      onJoined: ({ entry }) => events.push(`joined ${entry}`),
     });
-    return { registry, told };
+    return { registry, events };
   }
 
   const record = (key: string, value?: string): KeyedRecord => ({ key, value });
 
   it("distinguishes snapshot records from new ones", () => {
-    const { registry, told } = create();
+    const { registry, events } = create();
     registry.replaceAll([record("a", "a"), record("b", "b")]);
     registry.apply(record("c", "c"));
     registry.apply(record("a", undefined));
-    expect(told).to.deep.equal(["listed a", "listed b", "joined c"]);
+    expect(events).to.deep.equal(["listed a", "listed b", "joined c"]);
     expect(registry.listAddresses()).to.deep.equal(["b", "c"]);
   });
 
   it("ignores a record of another writer", () => {
-    const { registry, told } = create();
+    const { registry, events } = create();
     registry.replaceAll([record("a", "?"), record("b", "b")]);
     registry.apply(record("b", "?"));
-    expect(told).to.deep.equal(["listed b"]);
+    expect(events).to.deep.equal(["listed b"]);
     expect(registry.listAddresses()).to.deep.equal([]);
   });
 });
--- a/packages/serving/src/peer_config_test.ts
+++ b/packages/serving/src/peer_config_test.ts
@@ -6,24 +6,24 @@
   // copy. Without this, keys are refused until a configuration is published
   // again.
   it("is fetched from a peer that answers", async () => {
-    const asked: string[] = [];
-    const taken: string[] = [];
+    const requested: string[] = [];
+    const applied: string[] = [];
     const refresh = (draw: number, newerPeers = ["silent", "other"]) =>
       refreshFromPeer({
         random: () => draw,
         listNewerPeers: () => newerPeers,
         fetch: (address) => {
-          asked.push(address);
+          requested.push(address);
           const value = address === "silent" ? undefined : "version 8";
           return Promise.resolve(value);
         },
-        apply: (value) => taken.push(value),
+        apply: (value) => applied.push(value),
       });
     await refresh(0);
-    expect(taken).to.deep.equal([]);
+    expect(applied).to.deep.equal([]);
     await refresh(0.9);
     await refresh(0.5, []);
-    expect(asked).to.deep.equal(["silent", "other"]);
-    expect(taken).to.deep.equal(["version 8"]);
+    expect(requested).to.deep.equal(["silent", "other"]);
+    expect(applied).to.deep.equal(["version 8"]);
   });
 });
--- a/packages/serving/src/shared_source.ts
+++ b/packages/serving/src/shared_source.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a keyed topic through other entries, and falls back to the store.
+ * Reads a compacted topic through other entries, and falls back to the store.
  *
  * Most entries read from a peer, so the number of calls to the store does not
  * grow with the number of entries. The data must stay as fresh as if every
--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/shared_source_test.ts
@@ -8,7 +8,7 @@
 import { createReadTracker } from "./reading_watch.ts";
 import { createPosition } from "./test_support.ts";
 
-const NEWS: TopicNews = {
+const REPLY: TopicNews = {
   kind: "records",
   records: [{ key: "a", value: "1", offset: 5 }],
   next: createPosition(6),
@@ -83,10 +83,10 @@
   }
 
   it("reads from a peer without the store, and reports the age", async () => {
-    const { read, asked } = create({ reader: NEWS });
-    const reading = await read();
+    const { read, asked } = create({ reader: REPLY });
+    const result = await read();
     expect(asked).to.deep.equal(["reader"]);
-    expect(reading.isOk && reading.value).to.deep.equal({
+    expect(result.isOk && result.value).to.deep.equal({
       records: [{ key: "a", value: "1", offset: 5 }],
       next: createPosition(6),
       isNewest: false,
@@ -96,7 +96,7 @@
   });
 
   it("reads the store if this entry is a store reader", async () => {
-    const { read, asked } = create({ other: NEWS }, { isReader: true });
+    const { read, asked } = create({ other: REPLY }, { isReader: true });
     await read();
     expect(asked).to.deep.equal(["store"]);
   });
@@ -104,23 +104,23 @@
   // The store is unavailable to this reader only. Without data from peers it
   // would refuse every key after some seconds, although the keys are valid.
   it("reads from peers if it is a store reader without the store", async () => {
-    const { read, asked } = create({ other: NEWS }, {
+    const { read, asked } = create({ other: REPLY }, {
       isReader: true,
       isStoreAway: true,
     });
-    const reading = await read();
+    const result = await read();
     expect(asked).to.deep.equal(["store", "other"]);
-    expect(reading.isOk && reading.value.next).to.deep.equal(createPosition(6));
+    expect(result.isOk && result.value.next).to.deep.equal(createPosition(6));
   });
 
   // The reader is frozen, has lost the store, or has just become a reader. A
   // key that is revoked meanwhile must not be accepted here.
-  const USELESS: { name: string; answer: TopicNews | undefined }[] = [
+  const UNUSABLE: { name: string; answer: TopicNews | undefined }[] = [
     { name: "does not answer", answer: undefined },
     { name: "does not have the offset", answer: { kind: "unknown" } },
-    { name: "has lost the store itself", answer: { ...NEWS, age: 1_100 } },
+    { name: "has lost the store itself", answer: { ...REPLY, age: 1_100 } },
   ];
-  for (const { name, answer } of USELESS) {
+  for (const { name, answer } of UNUSABLE) {
     it(`reads the store at once if the only reader ${name}`, async () => {
       const { read, asked, clock } = create({ reader: answer });
       await read();
@@ -133,7 +133,7 @@
     });
 
     it(`asks the next reader, not the store, if one ${name}`, async () => {
-      const { read, asked, queries } = create({ one: answer, two: NEWS });
+      const { read, asked, queries } = create({ one: answer, two: REPLY });
       await read();
       await read();
       expect(asked).to.deep.equal(["one", "two", "two"]);
@@ -147,13 +147,13 @@
   // age relative to the start of the whole read, or the data would seem too
   // old.
   it("reports the age relative to the start of the read", async () => {
-    const { clock, read } = create({ silent: undefined, young: NEWS }, {
+    const { clock, read } = create({ silent: undefined, young: REPLY }, {
       silence: 700,
     });
     const reply = read();
     await clock.advance(700);
-    const reading = await reply;
-    expect(reading.isOk && reading.value.age).to.equal(300 - 700);
+    const result = await reply;
+    expect(result.isOk && result.value.age).to.equal(300 - 700);
   });
 
   // The store takes 350 ms for each response. If a reader treated it as lost
@@ -165,7 +165,7 @@
       storeDelays: [350, 350, 350],
     });
     const passesOn: boolean[] = [];
-    for (let reading = 0; reading < 3; reading++) {
+    for (let count = 0; count < 3; count++) {
       const reply = read(0);
       await clock.advance(349);
       passesOn.push(source.mayRelay());
@@ -181,7 +181,7 @@
       storeDelays: [600, 3],
     });
     const ages: (Millis | undefined)[] = [];
-    for (let reading = 0; reading < 2; reading++) {
+    for (let count = 0; count < 2; count++) {
       const reply = read(600);
       await clock.advance(600);
       const { value } = (await reply) as { value: KeyedReading };
@@ -216,7 +216,7 @@
       isReader: true,
       storeDelays: [605.7, 3, 3, 3],
     });
-    for (let reading = 0; reading < 4; reading++) {
+    for (let count = 0; count < 4; count++) {
       const reply = read(600);
       await clock.advance(700);
       await reply;
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_knowledge_test.ts
@@ -11,12 +11,12 @@
 import { createPosition, createTestEndpoint } from "./test_support.ts";
 
 /** Creates a topic source that returns the given reads in order. */
-function createSource(readings: readonly (readonly KeyedRecord[])[]) {
+function createSource(reads: readonly (readonly KeyedRecord[])[]) {
   let next = 0;
   const read = () => {
-    const records = readings[next++] ?? [];
-    const reading = { records, next: createPosition(next) };
-    return Promise.resolve(Result.ok<KeyedReading, never>(reading));
+    const records = reads[next++] ?? [];
+    const result = { records, next: createPosition(next) };
+    return Promise.resolve(Result.ok<KeyedReading, never>(result));
   };
   return { readNewest: read, readFrom: read };
 }
@@ -31,7 +31,7 @@
 
 describe("site state", () => {
   async function follow(
-    readings: readonly (readonly KeyedRecord[])[],
+    reads: readonly (readonly KeyedRecord[])[],
     published: readonly (readonly KeyedRecord[])[] = [],
   ) {
     const clock = createFakeClock(0);
@@ -45,11 +45,11 @@
       configKey: "config",
       readEvacuatedPlace: (key: string) => /^away (.*)/.exec(key)?.[1],
       decodeConfig: () => Result.err("there is none"),
-      endpointSource: createSource(readings),
+      endpointSource: createSource(reads),
       decodeEndpoint,
       members: { source: createSource([]) },
     } as unknown as ServingPlatform;
-    const knowledge = createSiteState({
+    const siteState = createSiteState({
       clock,
       readWallTime: clock.now,
       random: () => 0.5,
@@ -64,10 +64,10 @@
       onRestored: () => {},
     });
     const controller = new AbortController();
-    void knowledge.follow(controller.signal);
+    void siteState.follow(controller.signal);
     await clock.advance(2_500);
     controller.abort();
-    const usable = knowledge.directory.listUsable("pool").map(({ id }) => id);
+    const usable = siteState.directory.listUsable("pool").map(({ id }) => id);
     return { usable, warnings };
   }
 
--- a/packages/serving/src/topic_asker_test.ts
+++ b/packages/serving/src/topic_asker_test.ts
@@ -8,14 +8,14 @@
   handleTopicRequests,
 } from "./topic_asker.ts";
 
-const NEWS: TopicNews = {
+const REPLY: TopicNews = {
   kind: "records",
   records: [],
   next: createPosition(1),
   age: 0,
 };
 
-function createQuestion(
+function createRequest(
   topic: TopicQuestion["topic"],
   wait: Millis,
 ): TopicQuestion {
@@ -26,7 +26,7 @@
   function create(answer?: readonly TopicNews[]) {
     const clock = createFakeClock(0);
     const sent: string[] = [];
-    const asker = createTopicRequestBatcher({
+    const batcher = createTopicRequestBatcher({
       clock,
       send: (address, questions) => {
         const topics = questions.map(({ topic }) => topic).join("+");
@@ -34,29 +34,29 @@
         return Promise.resolve(answer);
       },
     });
-    return { clock, sent, asker };
+    return { clock, sent, batcher };
   }
 
   // Unbatched, 80 idle entries made four requests a second each to their
   // relays, which took more processor time than all callers' requests.
   it("sends requests to one entry in one message", async () => {
-    const { clock, sent, asker } = create([NEWS, { kind: "unknown" }]);
-    const first = asker.request("a", createQuestion("config", 300));
+    const { clock, sent, batcher } = create([REPLY, { kind: "unknown" }]);
+    const first = batcher.request("a", createRequest("config", 300));
     await clock.advance(20);
-    const second = asker.request("a", createQuestion("endpoints", 600));
-    const other = asker.request("b", createQuestion("members", 600));
+    const second = batcher.request("a", createRequest("endpoints", 600));
+    const other = batcher.request("b", createRequest("members", 600));
     await clock.advance(40);
     expect(sent).to.deep.equal(["a config+endpoints", "b members"]);
-    expect(await first).to.deep.equal(NEWS);
+    expect(await first).to.deep.equal(REPLY);
     expect(await second).to.deep.equal({ kind: "unknown" });
-    expect(await other).to.deep.equal(NEWS);
+    expect(await other).to.deep.equal(REPLY);
   });
 
   // The entry that was asked first does not answer; a key may have been
   // revoked.
   it("sends a request without a wait at once", async () => {
-    const { sent, asker } = create();
-    expect(await asker.request("a", createQuestion("config", 0))).to.equal(
+    const { sent, batcher } = create();
+    expect(await batcher.request("a", createRequest("config", 0))).to.equal(
       undefined,
     );
     expect(sent).to.deep.equal(["a config"]);
@@ -68,7 +68,7 @@
     const createRelay = (wait: Millis) => ({
       answer: async (_: TopicQuestion, signal?: AbortSignal) => {
         await clock.sleep(wait, signal);
-        return NEWS;
+        return REPLY;
       },
     });
     const relays = {
@@ -78,12 +78,12 @@
     };
     let answered: Millis | undefined;
     const answers = handleTopicRequests(relays, [
-      createQuestion("config", 500),
-      createQuestion("endpoints", 200),
-      createQuestion("members", 3_000),
-    ]).then((news) => {
+      createRequest("config", 500),
+      createRequest("endpoints", 200),
+      createRequest("members", 3_000),
+    ]).then((replies) => {
       answered = clock.now();
-      return news;
+      return replies;
     });
     await clock.advance(250);
     expect(await answers).to.have.length(3);
--- a/packages/serving/src/topic_pace.ts
+++ b/packages/serving/src/topic_pace.ts
@@ -52,7 +52,7 @@
     maxAge: 1_200,
   },
   /**
-   * Entries rarely start or stop; heartbeats between peers tell which are
+   * Entries rarely start or stop; heartbeats between peers show which are
    * alive.
    */
   members: {
--- a/packages/serving/src/topic_readers_test.ts
+++ b/packages/serving/src/topic_readers_test.ts
@@ -84,7 +84,7 @@
   // data for fresh.
   it("has no relays that wait for each other", () => {
     const all = chooseAll(195, { strong: 18 });
-    const asks = new Map(
+    const parents = new Map(
       all.map(({ self, addresses }) => [self.controlAddress, addresses]),
     );
     for (const { self, isReader, addresses } of all) {
@@ -95,7 +95,7 @@
           one.self.controlAddress === parent
         )?.isReader;
         if (isReaderAsked) continue;
-        expect(asks.get(parent)).not.to.include(self.controlAddress);
+        expect(parents.get(parent)).not.to.include(self.controlAddress);
       }
     }
   });
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Relays the records of a keyed topic to other entries, so that not every entry
+ * Relays the records of a compacted topic to other entries, so that not every entry
  * has to read the platform's store.
  *
  * The offsets are those of the store: an entry can continue reading from this
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -7,7 +7,7 @@
 import { createTopicRelay } from "./topic_relay.ts";
 
 /** Creates a read result from records written as `key=content/heartbeat`. */
-function createReading(next: number, ...texts: string[]): KeyedReading {
+function createResult(next: number, ...texts: string[]): KeyedReading {
   const records = texts.map((text) => {
     const [key = "", value] = text.split("=");
     return { key, value: value === "" ? undefined : value };
@@ -21,7 +21,7 @@
     const relay = createTopicRelay({
       clock,
       source: {
-        readNewest: () => Promise.resolve(Result.ok(createReading(5, "a=1/1"))),
+        readNewest: () => Promise.resolve(Result.ok(createResult(5, "a=1/1"))),
         readFrom: () => {
           const step = changes.shift();
           return Promise.resolve<Result<KeyedReading, KeyedFault>>(
@@ -39,14 +39,14 @@
       await relay.source.readFrom(createPosition(from, era), 0);
     };
     const ask = async (from: number, { wait = 0, era = 0 } = {}) => {
-      const news = relay.answer({
+      const pending = relay.answer({
         topic: "endpoints",
         from: createPosition(from, era),
         wait,
         confirmWait: 0,
       });
       await clock.advance(wait);
-      const reply = await news;
+      const reply = await pending;
       if (reply.kind === "unknown") return "unknown";
       const keys = reply.records.map(({ key, value }) => `${key}=${value}`);
       const kind = reply.kind === "newest" ? "all: " : "";
@@ -58,7 +58,7 @@
   }
 
   it("relays changes with the store's offsets", async () => {
-    const { readOn, ask } = await create(createReading(7, "b=1/1", "a=2/1"));
+    const { readOn, ask } = await create(createResult(7, "b=1/1", "a=2/1"));
     await readOn(5);
     expect(await ask(5)).to.equal("b=1/1 a=2/1 next 7 age 0");
     expect(await ask(6)).to.equal("a=2/1 next 7 age 0");
@@ -68,7 +68,7 @@
   // link of the smallest instance, and they change no content.
   it("leaves out heartbeats, except the first after a removal", async () => {
     const { readOn, ask } = await create(
-      createReading(8, "a=1/2", "a=", "a=1/3"),
+      createResult(8, "a=1/2", "a=", "a=1/3"),
     );
     await readOn(5);
     expect(await ask(5)).to.equal("a=undefined a=1/3 next 8 age 0");
@@ -82,8 +82,8 @@
     const relay = createTopicRelay({
       clock,
       source: {
-        readNewest: () => Promise.resolve(Result.ok(createReading(5, "a=1/1"))),
-        readFrom: () => Promise.resolve(Result.ok(createReading(5))),
+        readNewest: () => Promise.resolve(Result.ok(createResult(5, "a=1/1"))),
+        readFrom: () => Promise.resolve(Result.ok(createResult(5))),
         mayRelay: () => !isLost,
       },
       age: createKnowledgeAge({ clock, readWallTime: clock.now }),
@@ -124,7 +124,7 @@
   // that are behind their relay would keep reading the store.
   it("sends a snapshot to an entry that is too far behind", async () => {
     const { readOn, ask } = await create(
-      createReading(7, "b=1/1", "a="),
+      createResult(7, "b=1/1", "a="),
     );
     await readOn(5);
     expect(await ask(4)).to.equal("all: b=1/1 next 7 age 0");
@@ -133,7 +133,7 @@
   // While this entry read elsewhere, it buffered nothing. An entry that relied
   // on its buffer would miss the records in between.
   it("resets its buffer where it did not read itself", async () => {
-    const { readOn, ask } = await create(createReading(10, "b=1/1"));
+    const { readOn, ask } = await create(createResult(10, "b=1/1"));
     await readOn(9);
     expect(await ask(5)).to.equal("unknown");
     expect(await ask(10)).to.equal(" next 10 age 0");
@@ -142,15 +142,15 @@
   // An entry has read the store a moment after the reader did. If it were sent
   // back to the store for that, it would be ahead again the next time.
   it("catches up with an entry that is ahead of it", async () => {
-    const { relay, readOn } = await create(createReading(7, "b=1/1", "c=1/1"));
-    const news = relay.answer({
+    const { relay, readOn } = await create(createResult(7, "b=1/1", "c=1/1"));
+    const reply = relay.answer({
       topic: "config",
       from: createPosition(6),
       wait: 400,
       confirmWait: 1_000,
     });
     await readOn(5);
-    expect(await news).to.deep.equal({
+    expect(await reply).to.deep.equal({
       kind: "records",
       records: [{ key: "c", value: "1/1", offset: 6 }],
       next: createPosition(7),
@@ -159,15 +159,15 @@
   });
 
   it("answers a waiting entry when something changes", async () => {
-    const { relay, readOn } = await create(createReading(6, "b=1/1"));
-    const news = relay.answer({
+    const { relay, readOn } = await create(createResult(6, "b=1/1"));
+    const reply = relay.answer({
       topic: "config",
       from: createPosition(5),
       wait: 400,
       confirmWait: 1_000,
     });
     await readOn(5);
-    expect(await news).to.deep.equal({
+    expect(await reply).to.deep.equal({
       kind: "records",
       records: [{ key: "b", value: "1/1", offset: 5 }],
       next: createPosition(6),
@@ -179,20 +179,20 @@
   // wait with each relay. Right after a confirmation it is as fresh as
   // possible.
   it("answers after the wait as soon as its data is confirmed", async () => {
-    const { relay, readOn, clock } = await create(createReading(5));
-    let news: unknown;
+    const { relay, readOn, clock } = await create(createResult(5));
+    let reply: unknown;
     void relay.answer({
       topic: "config",
       from: createPosition(5),
       wait: 400,
       confirmWait: 1_000,
     })
-      .then((reply) => news = reply);
+      .then((answer) => reply = answer);
     await clock.advance(500);
-    expect(news).to.equal(undefined);
+    expect(reply).to.equal(undefined);
     await readOn(5);
     await clock.advance(0);
-    expect(news).to.deep.equal({
+    expect(reply).to.deep.equal({
       kind: "records",
       records: [],
       next: createPosition(5),
@@ -203,14 +203,14 @@
   // The store or the reader is frozen: the requester must ask elsewhere.
   it("reports the age of its data if nothing confirms it in time", async () => {
     const { relay, clock } = await create();
-    const news = relay.answer({
+    const reply = relay.answer({
       topic: "config",
       from: createPosition(5),
       wait: 400,
       confirmWait: 1_000,
     });
     await clock.advance(1_400);
-    expect(await news).to.deep.equal({
+    expect(await reply).to.deep.equal({
       kind: "records",
       records: [],
       next: createPosition(5),
@@ -237,11 +237,11 @@
   // era gets a snapshot, and then the next record of each live endpoint,
   // although its content is unchanged: only live endpoints write again.
   it("resets in a new era and relays each key's next record", async () => {
-    const copy = { ...createReading(3, "a=1/1", "b=1/1"), isNewest: true };
+    const copy = { ...createResult(3, "a=1/1", "b=1/1"), isNewest: true };
     const { readOn, ask } = await create(
       { ...copy, next: createPosition(3, 1) },
-      { ...createReading(4, "a=1/2"), next: createPosition(4, 1) },
-      { ...createReading(5, "a=1/3"), next: createPosition(5, 1) },
+      { ...createResult(4, "a=1/2"), next: createPosition(4, 1) },
+      { ...createResult(5, "a=1/3"), next: createPosition(5, 1) },
     );
     await readOn(5);
     expect(await ask(5)).to.equal("all: a=1/1 b=1/1 next 3 of era 1 age 0");
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -67,7 +67,7 @@
   const timing = TOPIC_TIMINGS[topic];
   const clock = createFakeClock(0);
   const random = new Random(MersenneTwister19937.seed(seed));
-  const real = () => random.real(0, 1);
+  const randomReal = () => random.real(0, 1);
   const controller = new AbortController();
   const { signal } = controller;
   const calls: Millis[] = [];
@@ -102,7 +102,7 @@
       });
     }
 
-    const createReading = (from: number): KeyedReading => ({
+    const createResult = (from: number): KeyedReading => ({
       records: written.slice(from)
         .map((value) => ({ key: "config", value: String(value) })),
       next: { era, offset: written.length },
@@ -111,14 +111,14 @@
       async readNewest() {
         if (!await call()) return Result.err("unavailable");
         return Result.ok<KeyedReading, never>(
-          createReading(written.length - 1),
+          createResult(written.length - 1),
         );
       },
       async readFrom({ era: asked, offset }, wait) {
         if (!await call()) return Result.err("unavailable");
         if (wait > 0 && offset >= written.length) await waitForChange(wait);
         if (asked !== era) return Result.err("expired");
-        return Result.ok(createReading(offset));
+        return Result.ok(createResult(offset));
       },
     };
   }
@@ -135,11 +135,11 @@
     capacity: index % 11 === 0 ? 1.35 : 0.3,
   }));
 
-  function createKnowing(self: PeerRecord): Membership {
+  function createFullMembership(self: PeerRecord): Membership {
     const membership = createMembership({
       clock,
       self,
-      random: real,
+      random: randomReal,
       suspectAfter: 2_500,
       loseAfter: Infinity,
     });
@@ -148,12 +148,12 @@
   }
 
   const entries = records.map((self, index) => {
-    const membership = createKnowing(self);
+    const membership = createFullMembership(self);
     const relay = createTopicRelay({
       clock,
       source: createRelayedSource({
         clock,
-        random: real,
+        random: randomReal,
         topic,
         source: createStore(index),
         chooseParents: () => chooseTopicParents(membership),
@@ -173,25 +173,25 @@
 
   async function requestFromPeer(
     address: string,
-    question: TopicQuestion,
+    query: TopicQuestion,
   ): Promise<TopicNews | undefined> {
-    const limit = question.wait + question.confirmWait + PEER_SLACK;
-    const givenUp = clock.sleep(limit).then(() => undefined);
+    const limit = query.wait + query.confirmWait + PEER_SLACK;
+    const timeout = clock.sleep(limit).then(() => undefined);
     const index = Number(address);
     async function answer(): Promise<TopicNews | undefined> {
       await clock.sleep(PEER_DELAY);
-      const news = await entries[index]?.relay.answer(question);
+      const reply = await entries[index]?.relay.answer(query);
       await clock.sleep(PEER_DELAY);
       // An entry that has died in the meantime does not answer any more.
-      return silent.has(index) ? await givenUp : news;
+      return silent.has(index) ? await timeout : reply;
     }
-    return await Promise.race([answer(), givenUp]);
+    return await Promise.race([answer(), timeout]);
   }
 
   for (const entry of entries) {
     void followTopic({
       clock,
-      random: real,
+      random: randomReal,
       signal,
       source: entry.relay.source,
       readTime: entry.age.readTime,
@@ -308,9 +308,9 @@
       await fleet.clock.advance(4_000);
       fleet.publishUnseen();
       await fleet.clock.advance(850);
-      const told = fleet.countUpToDate();
+      const upToDate = fleet.countUpToDate();
       fleet.stop();
-      expect(told).to.equal(size);
+      expect(upToDate).to.equal(size);
     });
   }
 
@@ -329,9 +329,9 @@
       await fleet.clock.advance(1_500);
       fleet.publish();
       await fleet.clock.advance(500);
-      const told = fleet.countUpToDate();
+      const upToDate = fleet.countUpToDate();
       fleet.stop();
-      expect(told).to.equal(size);
+      expect(upToDate).to.equal(size);
     });
   }
 
@@ -348,9 +348,9 @@
     });
     fleet.publish();
     await fleet.clock.advance(3_000);
-    const told = fleet.countUpToDate();
+    const upToDate = fleet.countUpToDate();
     fleet.stop();
-    expect(told).to.be.at.least(195 - 9);
+    expect(upToDate).to.be.at.least(195 - 9);
   });
 
   // All readers lose power, and an endpoint reports that it is leaving. No
@@ -369,10 +369,10 @@
         }
         fleet.publish();
         await fleet.clock.advance(limit);
-        const told = fleet.countUpToDate();
+        const upToDate = fleet.countUpToDate();
         fleet.stop();
         expect(readers.length).to.be.at.most(3);
-        expect(told).to.be.at.least(size - readers.length);
+        expect(upToDate).to.be.at.least(size - readers.length);
       });
     }
   }
@@ -389,9 +389,9 @@
         await fleet.clock.advance(later);
         fleet.publish();
         await fleet.clock.advance(1_900);
-        const told = fleet.countUpToDate();
+        const upToDate = fleet.countUpToDate();
         fleet.stop();
-        expect(told).to.be.at.least(6);
+        expect(upToDate).to.be.at.least(6);
       });
     }
   }
@@ -435,8 +435,8 @@
     const readers = fleet.listReaders();
     const all = Array.from({ length: 8 }, (_, index) => index);
     const others = all.filter((index) => !readers.includes(index));
-    const turnedAway = [...readers, ...others].slice(0, count);
-    turnedAway.forEach((index) => fleet[fault].add(index));
+    const withoutStore = [...readers, ...others].slice(0, count);
+    withoutStore.forEach((index) => fleet[fault].add(index));
     const oldest = await measureOldest(fleet, {
       duration: 8_000,
       readAge: () => Math.max(...fleet.listAges()),
@@ -495,11 +495,11 @@
     await fleet.clock.advance(1_000);
     fleet.publish();
     await fleet.clock.advance(2_500);
-    const told = fleet.countUpToDate();
+    const upToDate = fleet.countUpToDate();
     await fleet.clock.advance(5_000);
     const calls = countBetween(fleet.calls, 8_000, 12_000) / 4;
     fleet.stop();
-    expect(told).to.equal(195);
+    expect(upToDate).to.equal(195);
     expect(calls).to.be.at.most(20);
   });
 
@@ -515,9 +515,9 @@
     fleet.cutOff.clear();
     fleet.publish();
     await fleet.clock.advance(2_500);
-    const told = fleet.countUpToDate();
+    const upToDate = fleet.countUpToDate();
     fleet.stop();
     expect(calls).to.be.at.most(60);
-    expect(told).to.be.at.least(190);
+    expect(upToDate).to.be.at.least(190);
   });
 });
