--- a/packages/serving/src/config_age_log_test.ts
+++ b/packages/serving/src/config_age_log_test.ts
@@ -4,7 +4,7 @@
 import { createConfigAgeLog } from "./config_age_log.ts";
 
 describe("log of the configuration's age", () => {
-  it("writes one line when it is stale and one when it is fresh again", async () => {
+  it("writes a line when it gets stale and when it is fresh again", async () => {
     const clock = createFakeClock(0);
     const lines: unknown[] = [];
     const ages: Millis[] = [];
--- a/packages/serving/src/topic_asker.ts
+++ b/packages/serving/src/topic_asker.ts
@@ -50,8 +50,8 @@
   async function sendBatch(address: string): Promise<void> {
     const pending = batches.get(address) ?? [];
     batches.delete(address);
-    const reply = await send(address, pending.map(({ query }) => query));
-    pending.forEach(({ resolve }, index) => resolve(reply?.[index]));
+    const replies = await send(address, pending.map(({ query }) => query));
+    pending.forEach(({ resolve }, index) => resolve(replies?.[index]));
   }
 
   function enqueueRequest(
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -1,6 +1,6 @@
 /**
- * Relays the records of a compacted topic to other entries, so that not every entry
- * has to read the platform's store.
+ * Relays the records of a compacted topic to other entries, so that not every
+ * entry has to read the platform's store.
  *
  * The offsets are those of the store: an entry can continue reading from this
  * entry, from another one or from the store, and misses no record.
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -341,7 +341,7 @@
     const fleet = startFleet(195);
     await fleet.clock.advance(4_000);
     const strong = Array.from({ length: 18 }, (_, index) => index * 11);
-    // The first nine high-capacity entries stop, most likely with all readers.
+    // Whoever called the store in the last second reads it for the others.
     strong.slice(0, 9).forEach((index) => {
       fleet.silent.add(index);
       fleet.cutOff.add(index);
