--- a/packages/serving/src/keyed_follower.ts
+++ b/packages/serving/src/keyed_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows a keyed topic: the newest record of each key first, then every change.
- * Survives outages, lost answers and expired records.
+ * Follows a compacted topic: reads a snapshot with the newest record of each
+ * key, then every change. Handles outages, lost responses and expired records.
  *
  * @module
  */
@@ -13,112 +13,117 @@
   TopicPosition,
 } from "./serving_handles.ts";
 
-/** What is done with what is read. */
-export interface KeyedSink {
+/** Receives the records of a topic. */
+export interface TopicSink {
   /**
-   * The store has come back from an older copy of itself: the newest records
-   * that are taken next lack what was written last.
+   * Called when the store was restored from an older copy, before the snapshot
+   * that is read next; that snapshot lacks the most recent writes.
    */
-  noteRestored(): void;
-  /** Takes the newest record of every key. */
+  handleRestored(): void;
+  /** Applies a snapshot: the newest record of every key. */
   replaceAll(records: readonly KeyedRecord[]): void;
-  /** Takes one change. */
+  /** Applies one change. */
   apply(record: KeyedRecord): void;
-  /** What was taken so far was complete at `askedAt`. */
-  noteConfirmed(askedAt: KnowledgeTime): void;
-  /** The topic cannot be read any more. */
-  noteAway(): void;
-  /** The topic can be read again. */
-  noteBack(): void;
+  /**
+   * Called when the records applied so far are known to be complete at
+   * `requestedAt`.
+   */
+  recordConfirmed(requestedAt: KnowledgeTime): void;
+  /** Called when the topic has become unavailable. */
+  handleUnavailable(): void;
+  /** Called when the topic is available again. */
+  handleAvailable(): void;
 }
 
-/** Options of {@linkcode followKeyedTopic}. */
-export interface KeyedFollowerOptions {
+/** Options of {@linkcode followTopic}. */
+export interface TopicFollowerOptions {
   clock: Clock;
   random: () => number;
   signal: AbortSignal;
   source: KeyedSource;
-  sink: KeyedSink;
+  sink: TopicSink;
   readTime: () => KnowledgeTime;
-  /** How long one reading waits for a change. */
+  /** Long-poll wait of one read. */
   wait: Millis;
-  /** Pause between two readings of the store that found something. */
+  /** Pause after a successful read from the store. */
   pause: Millis;
 }
 
-/** Pause between two questions to another entry, which waits for changes. */
-const RELAYED_PAUSE: Millis = 50;
-/** The first pause after a failed reading; doubles up to the longest. */
-const FIRST_BACKOFF: Millis = 50;
-const LONGEST_BACKOFF: Millis = 400;
+/** Pause after a read from another entry, which batches changes itself. */
+const RELAYED_READ_PAUSE: Millis = 50;
+/** The first pause after a failed read; doubles up to the maximum. */
+const MIN_BACKOFF: Millis = 50;
+const MAX_BACKOFF: Millis = 400;
 /**
- * Nobody of use for a moment is no outage. Taken for one, removals that are read
- * next would not be believed for two seconds, and endpoints that are gone would
- * get requests; while the store is away, no endpoint lapses within three seconds.
+ * Failures shorter than this are not an outage. If they were treated as one,
+ * removals read next would be ignored for two seconds, and removed endpoints
+ * would get requests. The delay is safe: while the store is unavailable, no
+ * endpoint expires within three seconds.
  */
-const AWAY_AFTER: Millis = 1_000;
+const UNAVAILABLE_AFTER: Millis = 1_000;
 
-/** Follows until the signal aborts. */
-export async function followKeyedTopic(
+/** Follows a topic until the signal aborts. */
+export async function followTopic(
   { clock, random, signal, source, sink, readTime, wait, pause }:
-    KeyedFollowerOptions,
+    TopicFollowerOptions,
 ): Promise<void> {
   let next: TopicPosition | undefined;
   let era: number | undefined;
-  let backoff = FIRST_BACKOFF;
-  let isAway = false;
-  /** When the topic was last read. */
+  let backoff = MIN_BACKOFF;
+  let isUnavailable = false;
+  /** Time of the last successful read. */
   let readAt = -Infinity;
 
-  /** Returns what was read, or undefined after a failure. */
+  /** Resolves to the result, or to undefined after a failure. */
   async function readOnce(): Promise<KeyedReading | undefined> {
-    const reading = next === undefined
+    const result = next === undefined
       ? await source.readNewest()
       : await source.readFrom(next, wait);
-    if (reading.isOk) return reading.value;
-    if (reading.error === "expired") next = undefined;
-    else noteFailure();
+    if (result.isOk) return result.value;
+    if (result.error === "expired") next = undefined;
+    else handleFailure();
     return undefined;
   }
 
-  function noteFailure(): void {
-    if (isAway || clock.now() - readAt < AWAY_AFTER) return;
-    sink.noteAway();
-    isAway = true;
+  function handleFailure(): void {
+    if (isUnavailable || clock.now() - readAt < UNAVAILABLE_AFTER) return;
+    sink.handleUnavailable();
+    isUnavailable = true;
   }
 
-  function takeReading(reading: KeyedReading, askedAt: KnowledgeTime): void {
-    if (isAway) sink.noteBack();
-    isAway = false;
+  function applyResult(result: KeyedReading, requestedAt: KnowledgeTime): void {
+    if (isUnavailable) sink.handleAvailable();
+    isUnavailable = false;
     readAt = clock.now();
-    backoff = FIRST_BACKOFF;
-    const isWhole = next === undefined || reading.isNewest === true;
-    if (era !== undefined && reading.next.era !== era) sink.noteRestored();
-    era = reading.next.era;
-    if (isWhole) sink.replaceAll(reading.records);
-    else reading.records.forEach((record) => sink.apply(record));
-    next = reading.next;
-    const { age = 0 } = reading;
-    sink.noteConfirmed({
-      monotonic: askedAt.monotonic - age,
-      wall: askedAt.wall - age,
+    backoff = MIN_BACKOFF;
+    const isSnapshot = next === undefined || result.isNewest === true;
+    if (era !== undefined && result.next.era !== era) sink.handleRestored();
+    era = result.next.era;
+    if (isSnapshot) sink.replaceAll(result.records);
+    else result.records.forEach((record) => sink.apply(record));
+    next = result.next;
+    const { age = 0 } = result;
+    sink.recordConfirmed({
+      monotonic: requestedAt.monotonic - age,
+      wall: requestedAt.wall - age,
     });
   }
 
   while (!signal.aborted) {
-    const askedAt = readTime();
-    const reading = await readOnce();
-    if (reading !== undefined) {
-      takeReading(reading, askedAt);
-      // Another entry has gathered changes already, and tells them as they come.
-      const rest = reading.isRelayed === true
-        ? Math.min(pause, RELAYED_PAUSE)
+    const requestedAt = readTime();
+    const result = await readOnce();
+    if (result !== undefined) {
+      applyResult(result, requestedAt);
+      // Another entry has batched the changes already and sends them as they
+      // come.
+      const rest = result.isRelayed === true
+        ? Math.min(pause, RELAYED_READ_PAUSE)
         : pause;
-      // A spread pause keeps entries that started together from asking together.
+      // The jitter keeps entries that started together from polling together.
       await clock.sleep(rest * (0.75 + random() / 2), signal);
       continue;
     }
     await clock.sleep(backoff * (0.5 + random()), signal);
-    backoff = Math.min(LONGEST_BACKOFF, backoff * 2);
+    backoff = Math.min(MAX_BACKOFF, backoff * 2);
   }
 }
--- a/packages/serving/src/keyed_follower_test.ts
+++ b/packages/serving/src/keyed_follower_test.ts
@@ -1,20 +1,20 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
-import { followKeyedTopic } from "./keyed_follower.ts";
+import { followTopic } from "./keyed_follower.ts";
 import type { KeyedFault, KeyedReading } from "./serving_handles.ts";
 import { createPosition } from "./test_support.ts";
 
 type Script = (KeyedReading | KeyedFault)[];
 
-function createReading(next: number, ...keys: string[]): KeyedReading {
+function createResult(next: number, ...keys: string[]): KeyedReading {
   return {
     records: keys.map((key) => ({ key, value: key })),
     next: createPosition(next),
   };
 }
 
-describe("following a keyed topic", () => {
+describe("topic follower", () => {
   async function follow(newest: Script, changes: Script) {
     const clock = createFakeClock(0);
     const controller = new AbortController();
@@ -28,7 +28,7 @@
         ),
       );
     };
-    const task = followKeyedTopic({
+    const task = followTopic({
       clock,
       random: () => 0.5,
       signal: controller.signal,
@@ -40,13 +40,13 @@
         },
       },
       sink: {
-        noteRestored: () => seen.push("restored"),
+        handleRestored: () => seen.push("restored"),
         replaceAll: (records) =>
           seen.push(`all ${records.map(({ key }) => key).join("+")}`),
         apply: ({ key }) => seen.push(`one ${key}`),
-        noteConfirmed: () => {},
-        noteAway: () => seen.push("away"),
-        noteBack: () => seen.push("back"),
+        recordConfirmed: () => {},
+        handleUnavailable: () => seen.push("away"),
+        handleAvailable: () => seen.push("back"),
       },
       readTime: () => ({ monotonic: clock.now(), wall: clock.now() }),
       wait: 1_000,
@@ -58,31 +58,31 @@
     return seen;
   }
 
-  it("reads on behind the newest records", async () => {
-    const seen = await follow([createReading(4, "a", "b")], [
-      createReading(5, "c"),
-      createReading(5),
+  it("continues after the snapshot", async () => {
+    const seen = await follow([createResult(4, "a", "b")], [
+      createResult(5, "c"),
+      createResult(5),
     ]);
     expect(seen.slice(0, 5))
       .to.deep.equal(["all a+b", "from 4", "one c", "from 5", "from 5"]);
   });
 
-  // The store drops its history. Reading on at the old offset fails for ever;
-  // users would keep the configuration of that moment.
-  it("reads the newest again when the history is gone", async () => {
+  // The store drops its history. Reading from the old offset would fail for
+  // ever, and the entry would keep its current configuration.
+  it("reads a new snapshot when the history is gone", async () => {
     const seen = await follow(
-      [createReading(4, "a"), createReading(9, "a", "d")],
+      [createResult(4, "a"), createResult(9, "a", "d")],
       ["expired"],
     );
     expect(seen.slice(0, 4))
       .to.deep.equal(["all a", "from 4", "all a+d", "from 9"]);
   });
 
-  // The store comes back from an older copy of itself and gives offsets out
-  // again. Read on at the old one, what was written below it would be missed.
-  it("reads the newest again in a new era, and tells so first", async () => {
-    const copy = { ...createReading(2, "a"), next: createPosition(2, 1) };
-    const seen = await follow([createReading(4, "a", "b"), copy], ["expired"]);
+  // The store is restored from an older copy and reuses offsets. Reading from
+  // the old offset would miss records written below it.
+  it("reports a restore and reads a new snapshot in a new era", async () => {
+    const copy = { ...createResult(2, "a"), next: createPosition(2, 1) };
+    const seen = await follow([createResult(4, "a", "b"), copy], ["expired"]);
     expect(seen.slice(0, 5)).to.deep.equal([
       "all a+b",
       "from 4",
@@ -92,52 +92,53 @@
     ]);
   });
 
-  it("tells an outage once, and its end, and misses nothing", async () => {
+  it("reports an outage and its end once, and misses no record", async () => {
     const outage = Array.from({ length: 8 }, () => "unavailable" as const);
-    const seen = await follow([createReading(4, "a")], [
+    const seen = await follow([createResult(4, "a")], [
       ...outage,
-      createReading(5, "b"),
+      createResult(5, "b"),
     ]);
     expect(seen.filter((step) => !step.startsWith("from")).slice(0, 4))
       .to.deep.equal(["all a", "away", "back", "one b"]);
     expect(seen.filter((step) => step === "from 4").length).to.equal(9);
   });
 
-  // Two entries that it asked were busy for a moment. Taken for an outage of the
+  // Two peers are busy for a moment. If that were treated as an outage of the
   // store, an endpoint whose removal is read next would get requests for two
-  // seconds more.
-  it("takes a short failure for no outage", async () => {
-    const seen = await follow([createReading(4, "a")], [
+  // more seconds.
+  it("does not report a short failure as an outage", async () => {
+    const seen = await follow([createResult(4, "a")], [
       "unavailable",
       "unavailable",
-      createReading(5, "b"),
+      createResult(5, "b"),
     ]);
     expect(seen.slice(0, 5))
       .to.deep.equal(["all a", "from 4", "from 4", "from 4", "one b"]);
   });
 
-  // What another entry tells is as old as it says: counted as new, a key that was
-  // taken away would open requests for that much longer.
-  it("dates what was read by its age", async () => {
+  // Data from another entry has the age that the entry reports. If it were
+  // counted as new, a revoked key would be accepted for that much longer.
+  it("subtracts the reported age from the time of the read", async () => {
     const clock = createFakeClock(10_000);
     const controller = new AbortController();
     const confirmed: number[] = [];
-    const task = followKeyedTopic({
+    const task = followTopic({
       clock,
       random: () => 0.5,
       signal: controller.signal,
       source: {
         readNewest: () =>
-          Promise.resolve(Result.ok({ ...createReading(1), age: 700 })),
+          Promise.resolve(Result.ok({ ...createResult(1), age: 700 })),
         readFrom: () => Promise.resolve(Result.err("unavailable")),
       },
       sink: {
-        noteRestored: () => {},
+        handleRestored: () => {},
         replaceAll: () => {},
         apply: () => {},
-        noteConfirmed: ({ monotonic, wall }) => confirmed.push(monotonic, wall),
-        noteAway: () => {},
-        noteBack: () => {},
+        recordConfirmed: ({ monotonic, wall }) =>
+          confirmed.push(monotonic, wall),
+        handleUnavailable: () => {},
+        handleAvailable: () => {},
       },
       readTime: () => ({ monotonic: clock.now(), wall: clock.now() + 5 }),
       wait: 500,
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -6,9 +6,10 @@
 import { createTestPeer } from "./test_support.ts";
 
 describe("registry of members", () => {
-  // All instances start while the store is away: each must be in it soon after
-  // its return, or the others never hear of it.
-  it("announces itself until the store has taken it", async () => {
+  // All instances start while the store is unavailable. Each must write its
+  // record soon after the store is available again, or the others never
+  // discover it.
+  it("retries until the store has accepted the record", async () => {
     const clock = createFakeClock(0);
     const writes: number[] = [];
     const faults: string[] = [];
@@ -34,33 +35,33 @@
   });
 
   function create() {
-    const told: string[] = [];
+    const events: string[] = [];
     const registry = createMemberRegistry({
       decode: ({ value }) =>
         value === "?" ? undefined : createTestPeer(value ?? ""),
-      onListed: (records) =>
-        told.push(...records.map(({ entry }) => `listed ${entry}`)),
-      onJoined: ({ entry }) => told.push(`joined ${entry}`),
+      onSnapshot: (records) =>
+        events.push(...records.map(({ entry }) => `listed ${entry}`)),
+      onJoined: ({ entry }) => events.push(`joined ${entry}`),
     });
-    return { registry, told };
+    return { registry, events };
   }
 
   const record = (key: string, value?: string): KeyedRecord => ({ key, value });
 
-  it("tells old records from those written a moment ago", () => {
-    const { registry, told } = create();
+  it("distinguishes snapshot records from new ones", () => {
+    const { registry, events } = create();
     registry.replaceAll([record("a", "a"), record("b", "b")]);
     registry.apply(record("c", "c"));
     registry.apply(record("a", undefined));
-    expect(told).to.deep.equal(["listed a", "listed b", "joined c"]);
+    expect(events).to.deep.equal(["listed a", "listed b", "joined c"]);
     expect(registry.listAddresses()).to.deep.equal(["b", "c"]);
   });
 
-  it("takes a record of another writer for no entry", () => {
-    const { registry, told } = create();
+  it("ignores a record of another writer", () => {
+    const { registry, events } = create();
     registry.replaceAll([record("a", "?"), record("b", "b")]);
     registry.apply(record("b", "?"));
-    expect(told).to.deep.equal(["listed b"]);
+    expect(events).to.deep.equal(["listed b"]);
     expect(registry.listAddresses()).to.deep.equal([]);
   });
 });
--- a/packages/serving/src/peer_config_test.ts
+++ b/packages/serving/src/peer_config_test.ts
@@ -1,28 +1,29 @@
 import { expect } from "chai";
 import { refreshFromPeer } from "./peer_config.ts";
 
-describe("the configuration of a peer", () => {
-  // All entries of a place start again before a store that came back from an
-  // older copy. Keys are refused until somebody publishes a configuration again.
-  it("is taken from one that answers", async () => {
-    const asked: string[] = [];
-    const taken: string[] = [];
-    const refresh = (draw: number, ahead = ["silent", "other"]) =>
+describe("configuration from a peer", () => {
+  // All entries of a place restart after the store was restored from an older
+  // copy. Without this, keys are refused until a configuration is published
+  // again.
+  it("is fetched from a peer that answers", async () => {
+    const requested: string[] = [];
+    const applied: string[] = [];
+    const refresh = (draw: number, newerPeers = ["silent", "other"]) =>
       refreshFromPeer({
         random: () => draw,
-        listAhead: () => ahead,
-        ask: (address) => {
-          asked.push(address);
+        listNewerPeers: () => newerPeers,
+        fetch: (address) => {
+          requested.push(address);
           const value = address === "silent" ? undefined : "version 8";
           return Promise.resolve(value);
         },
-        take: (value) => taken.push(value),
+        apply: (value) => applied.push(value),
       });
     await refresh(0);
-    expect(taken).to.deep.equal([]);
+    expect(applied).to.deep.equal([]);
     await refresh(0.9);
     await refresh(0.5, []);
-    expect(asked).to.deep.equal(["silent", "other"]);
-    expect(taken).to.deep.equal(["version 8"]);
+    expect(requested).to.deep.equal(["silent", "other"]);
+    expect(applied).to.deep.equal(["version 8"]);
   });
 });
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry and its peers tell each other: who lives, who leaves, which
- * endpoints leave.
+ * Gossip between an entry and its peers: which entries are alive or leaving,
+ * which endpoints are leaving, endpoint limits and quarantined contents.
  *
  * @module
  */
@@ -32,15 +32,15 @@
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingSettings } from "./serving_options.ts";
 
-/** Options of {@linkcode createPeerNews}. */
-export interface PeerNewsOptions {
+/** Options of {@linkcode createPeerGossip}. */
+export interface PeerGossipOptions {
   clock: Clock;
   readWallTime: () => Millis;
   random: () => number;
   log: DecisionLog;
   metrics: ServingMetrics;
   settings: ServingSettings;
-  /** Changes with every start of the process. */
+  /** Differs for every start of the process. */
   incarnation: string;
   checkListening: (address: string) => Promise<Listening>;
   members: MemberStore;
@@ -49,45 +49,53 @@
   readState: () => PeerState;
   countInFlight: () => number;
   readConfigVersion: () => number;
-  /** Told again and again which version is the newest among live peers. */
-  notePeerVersion: (version: number) => void;
+  /**
+   * Called periodically with the newest configuration version among live peers.
+   */
+  recordPeerVersion: (version: number) => void;
   limits: Pick<EndpointLimits, "chooseNews" | "takeNews">;
-  /** What is told along of contents that are turned away. */
+  /** Source and receiver of updates about quarantined contents. */
   quarantine: Pick<QuarantineNews, "readNews" | "takeNews">;
 }
 
-/** The peers of one entry. */
-export interface PeerNews {
+/** The membership and gossip of one entry. */
+export interface PeerGossip {
   readonly self: PeerRecord;
   readonly membership: Membership;
   readonly peers: ServingPeerClient;
-  /** Takes what the store says of entries. */
+  /** Receives the store's records of entries. */
   readonly registry: MemberRegistry;
-  /** Writes this entry's record again, which a copy of the store may lack. */
-  publishAgain(signal: AbortSignal): Promise<void>;
-  /** Begins to exchange news; ends when the signal aborts. */
+  /** Writes this entry's record again, which a restored store may lack. */
+  republish(signal: AbortSignal): Promise<void>;
+  /** Starts the gossip exchange; it ends when the signal aborts. */
   start(signal: AbortSignal): ExchangeLoop;
-  /** Entries that a caller may use, at most `limit`; this one if it is ready. */
+  /**
+   * Returns at most `limit` entries that a caller may use, among them this one
+   * if it is ready.
+   */
   chooseEntries(limit: number): PeerRecord[];
 }
 
 const EXCHANGE_INTERVAL: Millis = 500;
 const PEER_TIMEOUT: Millis = 400;
-/** Five exchanges without news; most news comes through others in two. */
-const SUSPECT_AFTER: Millis = 2_500;
-const LOSE_AFTER: Millis = 6_000;
 /**
- * A message carries the news of some six peers, so among more than this many
- * news of one takes longer; at 86 about three times as long.
+ * Five exchanges without an update; most updates arrive through others in two.
  */
-const PROMPT_PEERS = 24;
-const MAX_PATIENCE = 3;
+const SUSPECT_TIMEOUT: Millis = 2_500;
+const LOST_TIMEOUT: Millis = 6_000;
+/**
+ * A message carries updates about six peers or so, so updates about one peer
+ * take longer when there are more peers than this; with 86 about three times as
+ * long. The time-outs are scaled accordingly.
+ */
+const FAST_GOSSIP_PEERS = 24;
+const MAX_TIMEOUT_FACTOR = 3;
 
-/** Hundreds of entries write again together; the store takes that spread out. */
-const ANNOUNCE_SPREAD: Millis = 1_000;
+/** Jitter, as hundreds of entries republish to a restored store at once. */
+const REPUBLISH_JITTER: Millis = 1_000;
 
-/** Creates the news of an entry that knows only itself. */
-export function createPeerNews(options: PeerNewsOptions): PeerNews {
+/** Creates the gossip of an entry that knows only itself. */
+export function createPeerGossip(options: PeerGossipOptions): PeerGossip {
   const { clock, readWallTime, random, log, metrics, settings } = options;
   /** Incarnation and state of each peer as last logged. */
   const peerStates = new Map<string, string>();
@@ -111,13 +119,13 @@
     clock,
     self,
     random,
-    suspectAfter: SUSPECT_AFTER,
-    loseAfter: LOSE_AFTER,
+    suspectAfter: SUSPECT_TIMEOUT,
+    loseAfter: LOST_TIMEOUT,
     scalePatience: (known) =>
-      Math.min(MAX_PATIENCE, Math.max(1, known / PROMPT_PEERS)),
+      Math.min(MAX_TIMEOUT_FACTOR, Math.max(1, known / FAST_GOSSIP_PEERS)),
   });
-  // Peers are reachable only inside the platform's network, which gives its
-  // processes no shared secret.
+  // Peers are reachable only inside the platform's network, and the platform
+  // provides no shared secret to its processes.
   const peers = createServingPeerClient({
     clock,
     siteKey: "",
@@ -126,11 +134,12 @@
 
   const registry = createMemberRegistry({
     decode: options.members.decode,
-    onListed: (records) => membership.mergeDoubtful(records).forEach(notePeer),
-    onJoined: (record) => membership.merge([record]).forEach(notePeer),
+    onSnapshot: (records) =>
+      membership.mergeDoubtful(records).forEach(recordPeer),
+    onJoined: (record) => membership.merge([record]).forEach(recordPeer),
   });
 
-  function noteMembersLost(reason: string): void {
+  function recordMembersLost(reason: string): void {
     log.record("dependency_lost", { dependency: "members", reason });
   }
 
@@ -141,12 +150,12 @@
       signal,
       store: options.members,
       self,
-      onFault: noteMembersLost,
-    }).catch((error) => noteMembersLost(String(error)));
+      onFault: recordMembersLost,
+    }).catch((error) => recordMembersLost(String(error)));
   }
 
-  async function publishAgain(signal: AbortSignal): Promise<void> {
-    await clock.sleep(ANNOUNCE_SPREAD * random(), signal);
+  async function republish(signal: AbortSignal): Promise<void> {
+    await clock.sleep(REPUBLISH_JITTER * random(), signal);
     if (!signal.aborted) await publishSelf(signal);
   }
 
@@ -162,7 +171,7 @@
       beat: () => {
         const views = membership.list();
         metrics.setKnown("peers", views.length);
-        options.notePeerVersion(readNewestVersion(views));
+        options.recordPeerVersion(readNewestVersion(views));
         membership.beat({
           inFlight: options.countInFlight(),
           configVersion: options.readConfigVersion(),
@@ -185,8 +194,8 @@
       noteLimitNews: options.limits.takeNews,
       readPoisonNews: options.quarantine.readNews,
       notePoisonNews: options.quarantine.takeNews,
-      onIntroduced: notePeer,
-      onHeartbeat: notePeer,
+      onIntroduced: recordPeer,
+      onHeartbeat: recordPeer,
       onReply: () => Promise.resolve(),
       onUnanswered: () => metrics.countUnanswered(),
       checkListening: options.checkListening,
@@ -195,8 +204,10 @@
     return exchange;
   }
 
-  /** Logs changes only: heartbeats come many times a second. */
-  function notePeer({ entry, incarnation, state, controlAddress }: PeerRecord) {
+  /** Logs changes only: heartbeats arrive many times a second. */
+  function recordPeer(
+    { entry, incarnation, state, controlAddress }: PeerRecord,
+  ) {
     const now = `${incarnation} ${state}`;
     if (peerStates.get(entry) === now) return;
     peerStates.set(entry, now);
@@ -212,10 +223,10 @@
     membership,
     peers,
     registry,
-    publishAgain,
+    republish,
     start,
     chooseEntries(limit) {
-      // Its record says so only with the next heartbeat.
+      // The own record shows the current state only after the next heartbeat.
       const record: PeerRecord = { ...membership.self, state: "live" };
       const own = { record, health: "alive" } as const;
       const others = membership.list();
--- a/packages/serving/src/reading_watch.ts
+++ b/packages/serving/src/reading_watch.ts
@@ -1,71 +1,70 @@
 /**
- * Watches the readings of one topic, so that a log line can tell why an entry's
- * knowledge of it is old: a reading that does not end, readings that fail, or
- * nobody to ask.
+ * Tracks the reads of one topic, so that log lines can show why an entry's data
+ * is stale: a read that does not end, reads that fail, or no peer to read from.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { DecisionFields } from "./decision_log.ts";
 
-/** Where a topic is read. */
-export type ReadingSource = "store" | "peer";
+/** Where a topic is read from. */
+export type ReadSource = "store" | "peer";
 
-/** How a reading ended. */
-export type ReadingOutcome =
+/** How a read ended. */
+export type ReadOutcome =
   | "read"
-  /** The records asked for are gone. */
+  /** The requested records are gone. */
   | "expired"
-  /** The store did not answer, or turned this entry away. */
+  /** The store did not answer, or refused this entry. */
   | "unavailable"
-  /** The peer's own knowledge is too old. */
+  /** The peer's data is too old. */
   | "old"
   /** The peer has not read the topic, or not as far. */
   | "unknown"
   /** The peer did not answer. */
   | "silent";
 
-/** Notes how a reading ended. */
-export type EndReading = (outcome: ReadingOutcome) => void;
+/** Records how a read ended. */
+export type EndRead = (outcome: ReadOutcome) => void;
 
-/** The readings of one topic. */
-export interface ReadingWatch {
-  /** Notes a reading that begins, at the peer with this address if at one. */
-  begin(source: ReadingSource, address?: string): EndReading;
-  /** The reading that takes longest by now, and the one that ended last. */
+/** Tracks the reads of one topic. */
+export interface ReadTracker {
+  /** Records the start of a read; `address` is that of the peer, if any. */
+  begin(source: ReadSource, address?: string): EndRead;
+  /** Describes the oldest read in progress and the read that ended last. */
   describe(): DecisionFields;
 }
 
-/** Options of {@linkcode createReadingWatch}. */
-export interface ReadingWatchOptions {
+/** Options of {@linkcode createReadTracker}. */
+export interface ReadTrackerOptions {
   clock: Clock;
-  onEnd: (source: ReadingSource, outcome: ReadingOutcome) => void;
+  onEnd: (source: ReadSource, outcome: ReadOutcome) => void;
 }
 
-interface Reading {
+interface ReadInProgress {
   /** Source and address. */
   at: string;
   startedAt: Millis;
 }
 
-/** Creates the watch of a topic that was never read. */
-export function createReadingWatch(
-  { clock, onEnd }: ReadingWatchOptions,
-): ReadingWatch {
-  /** In the order in which they began. */
-  const inProgress = new Set<Reading>();
+/** Creates the tracker of a topic that was never read. */
+export function createReadTracker(
+  { clock, onEnd }: ReadTrackerOptions,
+): ReadTracker {
+  /** In order of start. */
+  const inProgress = new Set<ReadInProgress>();
   let last: DecisionFields = {};
 
-  function begin(source: ReadingSource, address?: string): EndReading {
+  function begin(source: ReadSource, address?: string): EndRead {
     const at = address === undefined ? source : `${source} ${address}`;
-    const reading: Reading = { at, startedAt: clock.now() };
-    inProgress.add(reading);
+    const read: ReadInProgress = { at, startedAt: clock.now() };
+    inProgress.add(read);
     return (outcome) => {
-      inProgress.delete(reading);
+      inProgress.delete(read);
       last = {
         lastReading: at,
         lastOutcome: outcome,
-        lastTook: clock.now() - reading.startedAt,
+        lastTook: clock.now() - read.startedAt,
       };
       onEnd(source, outcome);
     };
--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/shared_source_test.ts
@@ -4,11 +4,11 @@
 import { Result } from "true-myth";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { KeyedReading } from "./serving_handles.ts";
-import { createSharedSource } from "./shared_source.ts";
-import { createReadingWatch } from "./reading_watch.ts";
+import { createRelayedSource } from "./shared_source.ts";
+import { createReadTracker } from "./reading_watch.ts";
 import { createPosition } from "./test_support.ts";
 
-const NEWS: TopicNews = {
+const REPLY: TopicNews = {
   kind: "records",
   records: [{ key: "a", value: "1", offset: 5 }],
   next: createPosition(6),
@@ -17,7 +17,7 @@
 
 type Answers = Record<string, TopicNews | undefined>;
 
-describe("reading a topic at another entry", () => {
+describe("relayed topic source", () => {
   function create(
     answers: Answers,
     {
@@ -30,18 +30,18 @@
       storePause?: Millis;
       isReader?: boolean;
       isStoreAway?: boolean;
-      /** What each reading of the store takes; the others take no time. */
+      /** Duration of each store read; further ones take no time. */
       storeDelays?: readonly Millis[];
-      /** After this a silent entry is given up. */
+      /** Time after which a request to an unresponsive entry is given up. */
       silence?: Millis;
     } = {},
   ) {
     const clock = createFakeClock(0);
-    /** Waits that the store was asked for. */
+    /** The waits of the store reads. */
     const waits: Millis[] = [];
     const asked: string[] = [];
-    const questions: TopicQuestion[] = [];
-    const source = createSharedSource({
+    const queries: TopicQuestion[] = [];
+    const source = createRelayedSource({
       clock,
       random: () => 0.5,
       topic: "config",
@@ -62,31 +62,31 @@
         storePause,
         listOthers: () => [],
       }),
-      async ask(address, question) {
+      async request(address, query) {
         asked.push(address);
-        questions.push(question);
+        queries.push(query);
         const answer = answers[address];
         if (answer === undefined && silence > 0) await clock.sleep(silence);
         return answer;
       },
-      pace: { relayWait: 400, confirmWait: 0, maxAge: 1_000 },
-      readings: createReadingWatch({ clock, onEnd: () => {} }),
+      timing: { relayWait: 400, confirmWait: 0, maxAge: 1_000 },
+      reads: createReadTracker({ clock, onEnd: () => {} }),
     });
     return {
       source,
       clock,
       asked,
-      questions,
+      queries,
       waits,
       read: (wait: Millis = 500) => source.readFrom(createPosition(5), wait),
     };
   }
 
-  it("does not ask the store, and tells the age", async () => {
-    const { read, asked } = create({ reader: NEWS });
-    const reading = await read();
+  it("reads from a peer without the store, and reports the age", async () => {
+    const { read, asked } = create({ reader: REPLY });
+    const result = await read();
     expect(asked).to.deep.equal(["reader"]);
-    expect(reading.isOk && reading.value).to.deep.equal({
+    expect(result.isOk && result.value).to.deep.equal({
       records: [{ key: "a", value: "1", offset: 5 }],
       next: createPosition(6),
       isNewest: false,
@@ -95,33 +95,33 @@
     });
   });
 
-  it("asks the store where this entry is a reader", async () => {
-    const { read, asked } = create({ other: NEWS }, { isReader: true });
+  it("reads the store if this entry is a store reader", async () => {
+    const { read, asked } = create({ other: REPLY }, { isReader: true });
     await read();
     expect(asked).to.deep.equal(["store"]);
   });
 
-  // The store turns this reader away alone. Without the others it would refuse
-  // every key after some seconds, while they know that all hold.
-  it("hears from others when it is a reader and cut off", async () => {
-    const { read, asked } = create({ other: NEWS }, {
+  // The store is unavailable to this reader only. Without data from peers it
+  // would refuse every key after some seconds, although the keys are valid.
+  it("reads from peers if it is a store reader without the store", async () => {
+    const { read, asked } = create({ other: REPLY }, {
       isReader: true,
       isStoreAway: true,
     });
-    const reading = await read();
+    const result = await read();
     expect(asked).to.deep.equal(["store", "other"]);
-    expect(reading.isOk && reading.value.next).to.deep.equal(createPosition(6));
+    expect(result.isOk && result.value.next).to.deep.equal(createPosition(6));
   });
 
-  // The reader is frozen, cut off from the store, or has just become one. A key
-  // that is taken away meanwhile must not open anything here.
-  const USELESS: { name: string; answer: TopicNews | undefined }[] = [
-    { name: "is silent", answer: undefined },
-    { name: "knows nothing of the offset", answer: { kind: "unknown" } },
-    { name: "has lost the store itself", answer: { ...NEWS, age: 1_100 } },
+  // The reader is frozen, has lost the store, or has just become a reader. A
+  // key that is revoked meanwhile must not be accepted here.
+  const UNUSABLE: { name: string; answer: TopicNews | undefined }[] = [
+    { name: "does not answer", answer: undefined },
+    { name: "does not have the offset", answer: { kind: "unknown" } },
+    { name: "has lost the store itself", answer: { ...REPLY, age: 1_100 } },
   ];
-  for (const { name, answer } of USELESS) {
-    it(`asks the store at once if the only reader ${name}`, async () => {
+  for (const { name, answer } of UNUSABLE) {
+    it(`reads the store at once if the only reader ${name}`, async () => {
       const { read, asked, clock } = create({ reader: answer });
       await read();
       expect(asked).to.deep.equal(["reader", "store"]);
@@ -133,65 +133,68 @@
     });
 
     it(`asks the next reader, not the store, if one ${name}`, async () => {
-      const { read, asked, questions } = create({ one: answer, two: NEWS });
+      const { read, asked, queries } = create({ one: answer, two: REPLY });
       await read();
       await read();
       expect(asked).to.deep.equal(["one", "two", "two"]);
       // No time is lost with the second.
-      expect(questions.map(({ wait }) => wait)).to.deep.equal([400, 0, 400]);
+      expect(queries.map(({ wait }) => wait)).to.deep.equal([400, 0, 400]);
     });
   }
 
-  // The first is asked with a wait. What the second tells after it is as young as
-  // the second question; told from the start of the reading, it seems too old.
-  it("tells the age from the start of the reading", async () => {
-    const { clock, read } = create({ silent: undefined, young: NEWS }, {
+  // The first peer is asked with a wait, the second one after that. The reply
+  // of the second is as fresh as its own request. The source must report the
+  // age relative to the start of the whole read, or the data would seem too
+  // old.
+  it("reports the age relative to the start of the read", async () => {
+    const { clock, read } = create({ silent: undefined, young: REPLY }, {
       silence: 700,
     });
     const reply = read();
     await clock.advance(700);
-    const reading = await reply;
-    expect(reading.isOk && reading.value.age).to.equal(300 - 700);
+    const result = await reply;
+    expect(result.isOk && result.value.age).to.equal(300 - 700);
   });
 
-  // The store takes 350 ms for each answer. Taken for lost each time, a reader
-  // has nothing to pass on, and its askers press the store that is slow.
-  it("goes on reading for others before a slow store", async () => {
+  // The store takes 350 ms for each response. If a reader treated it as lost
+  // each time, it would relay nothing, and its children would add load to a
+  // store that is slow already.
+  it("keeps relaying while the store is slow", async () => {
     const { clock, read, source } = create({}, {
       isReader: true,
       storeDelays: [350, 350, 350],
     });
     const passesOn: boolean[] = [];
-    for (let reading = 0; reading < 3; reading++) {
+    for (let count = 0; count < 3; count++) {
       const reply = read(0);
       await clock.advance(349);
-      passesOn.push(source.mayPassOn());
+      passesOn.push(source.mayRelay());
       await clock.advance(1);
       await reply;
     }
     expect(passesOn).to.deep.equal([false, true, true]);
   });
 
-  it("is as young as the end of a wait without news", async () => {
+  it("is as fresh as the end of a wait without updates", async () => {
     const { clock, read } = create({}, {
       isReader: true,
       storeDelays: [600, 3],
     });
     const ages: (Millis | undefined)[] = [];
-    for (let reading = 0; reading < 2; reading++) {
+    for (let count = 0; count < 2; count++) {
       const reply = read(600);
       await clock.advance(600);
       const { value } = (await reply) as { value: KeyedReading };
       ages.push(value.age);
     }
-    // The second was answered at once: nothing is known of the wait.
+    // The second was answered at once, so the wait confirms nothing.
     expect(ages).to.deep.equal([-600, 0]);
   });
 
-  // The store is away, so nobody has anything young to tell. With a question to
-  // each relay and a call to the store every half second, a fleet of hundreds
-  // would make a thousand calls a second, and the store would stay away.
-  it("asks seldom while nobody is of use, and spreads its calls", async () => {
+  // The store is unavailable, so no peer has fresh data. With a request to each
+  // relay and a call to the store every half second, a fleet of hundreds would
+  // make a thousand calls a second, and the store could not recover.
+  it("backs off with jitter while no peer is usable", async () => {
     const { read, asked, clock } = create({ reader: undefined }, {
       storePause: 5_000,
     });
@@ -205,15 +208,15 @@
     expect(count("reader")).to.equal(5);
   });
 
-  // The store answers at once, without news, to a wait that it does not
-  // understand. Taken for a store that is faster than its waits, each next wait
-  // was longer by that, and the reader asked twenty times a second.
-  it("never waits for longer than it means to, and for whole times", async () => {
+  // The store returns at once, without updates, from a wait that it does not
+  // understand. When the source took this for a negative delay, each next wait
+  // got longer, and the reader polled twenty times a second.
+  it("never waits longer than intended, in whole milliseconds", async () => {
     const { clock, waits, read } = create({}, {
       isReader: true,
       storeDelays: [605.7, 3, 3, 3],
     });
-    for (let reading = 0; reading < 4; reading++) {
+    for (let count = 0; count < 4; count++) {
       const reply = read(600);
       await clock.advance(700);
       await reply;
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_knowledge.ts
@@ -1,6 +1,7 @@
 /**
- * What an entry knows from the platform's store: the configuration in force and
- * the endpoints, and how old that is.
+ * The local copy that an entry keeps of the site's state in the platform's
+ * store (the configuration in force, the endpoints and the entries), and its
+ * age.
  *
  * @module
  */
@@ -25,68 +26,76 @@
 import type { TopicName } from "@mangoreach/peers";
 import type { Clock, Logger, Millis } from "@mangoreach/shared";
 import type { DecisionFields, DecisionLog } from "./decision_log.ts";
-import type { KeyedSink } from "./keyed_follower.ts";
-import { followKeyedTopic } from "./keyed_follower.ts";
+import type { TopicSink } from "./keyed_follower.ts";
+import { followTopic } from "./keyed_follower.ts";
 import type { MemberRegistry } from "./member_registry.ts";
-import type { ReadingWatch } from "./reading_watch.ts";
-import { createReadingWatch } from "./reading_watch.ts";
+import type { ReadTracker } from "./reading_watch.ts";
+import { createReadTracker } from "./reading_watch.ts";
 import type { KeyedRecord, KeyedSource } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
-import { TOPIC_PACES } from "./topic_pace.ts";
+import { TOPIC_TIMINGS } from "./topic_pace.ts";
 import type { ReadableSource, TopicRelay } from "./topic_relay.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
-/** Options of {@linkcode createSiteKnowledge}. */
-export interface SiteKnowledgeOptions {
+/** Options of {@linkcode createSiteState}. */
+export interface SiteStateOptions {
   clock: Clock;
-  /** The time of day; counts on while a process is suspended. */
+  /** Wall-clock time; it advances while the process is suspended. */
   readWallTime: () => Millis;
   random: () => number;
   log: DecisionLog;
   logger: Logger;
   metrics: ServingMetrics;
   platform: ServingPlatform;
-  /** Lets entries share what they read of a topic. */
-  shareSource: (
+  /**
+   * Wraps the store's source of a topic in one that can also read from peers.
+   */
+  createRelayedSource: (
     topic: TopicName,
     source: KeyedSource,
-    readings: ReadingWatch,
+    reads: ReadTracker,
   ) => ReadableSource;
-  /** Told of each configuration that comes into force. */
+  /** Called with each configuration that comes into force. */
   onConfig: (config: ServingConfig) => void;
-  /** Told when endpoints come, leave or go. */
+  /** Called when endpoints are added, start to leave or are removed. */
   onEndpoints: () => void;
-  /** Takes what the store says of entries. */
+  /** Receives the store's records of entries. */
   members: Pick<MemberRegistry, "replaceAll" | "apply">;
-  /** Told when the store has come back without what was written to it last. */
+  /**
+   * Called when the store was restored from an older copy that lacks recent
+   * writes.
+   */
   onRestored: () => void;
 }
 
-/** What an entry knows of its site. */
-export interface SiteKnowledge {
-  /** The configuration in force; undefined before the first. */
+/** An entry's local copy of the state of its site. */
+export interface SiteState {
+  /** Returns the configuration in force; undefined before the first. */
   readTable(): RouteTable | undefined;
-  /** The same as it was published. */
+  /** Returns the configuration in force as it was published. */
   readPublished(): string | undefined;
-  /** Takes what a peer has in force, if it is newer. */
-  takePublished(value: string): void;
+  /** Applies a peer's configuration if it is newer than the one in force. */
+  applyPublished(value: string): void;
   readonly configAge: KnowledgeAge;
   readonly directory: EndpointDirectory;
-  /** Whether an endpoint is cold, or may be. */
+  /** Whether an endpoint is cold, or may be cold. */
   isCold(endpoint: EndpointInfo): boolean;
-  /** How long ago the store confirmed what is known of endpoints. */
+  /** Returns how long ago the store confirmed the endpoints. */
   readEndpointAge(): Millis;
-  /** Notes that nothing listened at an endpoint's address. */
-  noteUnreachable(endpoint: EndpointInfo): void;
-  /** The place of the endpoint at an address. */
+  /** Records that nothing listened at an endpoint's address. */
+  recordUnreachable(endpoint: EndpointInfo): void;
+  /** Returns the place of the endpoint at an address. */
   findPlace(address: string): string | undefined;
-  /** All endpoints that may be listening at an address. */
+  /** Lists all endpoints that may be listening at an address. */
   listAt(address: string): readonly EndpointInfo[];
-  /** Passes topics on to other entries. */
+  /** The relays that serve each topic to other entries. */
   readonly relays: Readonly<Record<TopicName, TopicRelay>>;
-  /** How the configuration is read just now. */
-  describeConfigReading(): DecisionFields;
+  /**
+   * Describes the current and the last read of the configuration, for log
+   * lines.
+   */
+  describeConfigReads(): DecisionFields;
   /** Whether endpoints were read at least once. */
   hasEndpoints(): boolean;
   /** Whether the records of entries were read at least once. */
@@ -95,22 +104,25 @@
   follow(signal: AbortSignal): Promise<void>;
 }
 
-/** Entries lapsed in an outage come back within two seconds. */
-const RETURN_GRACE: Millis = 1_800;
-/** A guess that an endpoint has left is believed this long without confirmation. */
-const MARK_LIFETIME: Millis = 4_000;
+/**
+ * Endpoints that expired during an outage of the store return within two
+ * seconds.
+ */
+const RECOVERY_GRACE: Millis = 1_800;
+/** An unconfirmed mark that an endpoint is leaving expires after this. */
+const LEAVING_MARK_TTL: Millis = 4_000;
 
-/** Lines about records that cannot be read, at most. */
-const MAX_UNREADABLE = 200;
+/** Maximum number of log lines about records that cannot be decoded. */
+const MAX_UNDECODABLE = 200;
 
 function readValue({ value }: KeyedRecord): string {
   return value ?? "";
 }
 
-/** Creates the knowledge of an entry that has read nothing yet. */
-export function createSiteKnowledge(
-  options: SiteKnowledgeOptions,
-): SiteKnowledge {
+/** Creates the state of an entry that has read nothing yet. */
+export function createSiteState(
+  options: SiteStateOptions,
+): SiteState {
   const { clock, readWallTime, random, log, logger, metrics, platform } =
     options;
   const { onConfig, onEndpoints } = options;
@@ -118,13 +130,13 @@
   let published: string | undefined;
   let isEndpointsKnown = false;
   let isMembersKnown = false;
-  /** Endpoints by their address, which may become another's. */
+  /** Endpoints by address; an address may be reused by another endpoint. */
   let byAddress: ReadonlyMap<string, readonly EndpointInfo[]> = new Map();
-  /** Keys whose records could not be read. */
-  const unreadable = new Set<string>();
+  /** Keys of records that could not be decoded. */
+  const undecodable = new Set<string>();
   const configAge = createKnowledgeAge({ clock, readWallTime });
   const endpointAge = createKnowledgeAge({ clock, readWallTime });
-  const readings: Record<TopicName, ReadingWatch> = {
+  const reads: Record<TopicName, ReadTracker> = {
     config: createWatch("config"),
     endpoints: createWatch("endpoints"),
     members: createWatch("members"),
@@ -139,8 +151,8 @@
     members: createRelay("members", platform.members.source, readValue),
   };
 
-  function createWatch(topic: TopicName): ReadingWatch {
-    return createReadingWatch({
+  function createWatch(topic: TopicName): ReadTracker {
+    return createReadTracker({
       clock,
       onEnd: (source, outcome) => metrics.countReading(topic, source, outcome),
     });
@@ -153,7 +165,7 @@
   ): TopicRelay {
     return createTopicRelay({
       clock,
-      source: options.shareSource(topic, source, readings[topic]),
+      source: options.createRelayedSource(topic, source, reads[topic]),
       age: createKnowledgeAge({ clock, readWallTime }),
       readContent,
     });
@@ -181,13 +193,13 @@
 
   const directory = createEndpointDirectory({
     clock,
-    markLifetime: MARK_LIFETIME,
+    markLifetime: LEAVING_MARK_TTL,
     isEvacuated: evacuation.isEvacuated,
   });
 
   const roster: EndpointRoster = createEndpointRoster({
     clock,
-    returnGrace: RETURN_GRACE,
+    returnGrace: RECOVERY_GRACE,
     onChange(endpoints) {
       byAddress = createAddressIndex(endpoints);
       directory.replaceAll(endpoints);
@@ -196,14 +208,15 @@
     },
   });
 
-  function takeConfig(value: string, source: "store" | "peer"): void {
+  function applyConfig(value: string, source: "store" | "peer"): void {
     const decoded = platform.decodeConfig(value);
     if (decoded.isErr) {
       return log.record("config_rejected", { reason: decoded.error });
     }
     const config = decoded.value;
     const version = table?.config.version ?? 0;
-    // Versions only rise: a late answer of the store must not revert.
+    // Versions only rise: a late response of the store must not revert to an
+    // older configuration.
     if (config.version <= version) return;
     table = createRouteTable(config);
     published = value;
@@ -218,28 +231,28 @@
     });
   }
 
-  const configSink: KeyedSink = {
-    noteRestored() {
+  const configSink: TopicSink = {
+    handleRestored() {
       evacuation.noteRestored();
-      noteRestored("config");
+      recordRestored("config");
     },
     replaceAll(records) {
-      records.forEach(takeConfigRecord);
+      records.forEach(applyConfigRecord);
       evacuation.replaceAll(
         records.filter(({ value }) => value !== undefined)
           .flatMap(({ key }) => platform.readEvacuatedPlace(key) ?? []),
       );
     },
     apply(record) {
-      takeConfigRecord(record);
-      takeEvacuation(record);
+      applyConfigRecord(record);
+      applyEvacuation(record);
     },
-    noteConfirmed: configAge.noteConfirmed,
-    noteAway: () => noteDependency("lost", "config"),
-    noteBack: () => noteDependency("regained", "config"),
+    recordConfirmed: configAge.noteConfirmed,
+    handleUnavailable: () => recordDependency("lost", "config"),
+    handleAvailable: () => recordDependency("regained", "config"),
   };
 
-  function noteRestored(topic: TopicName): void {
+  function recordRestored(topic: TopicName): void {
     log.record("store_restored", {
       topic,
       configVersion: table?.config.version,
@@ -247,19 +260,19 @@
     });
   }
 
-  function takeConfigRecord({ key, value }: KeyedRecord): void {
+  function applyConfigRecord({ key, value }: KeyedRecord): void {
     if (key !== platform.configKey || value === undefined) return;
-    takeConfig(value, "store");
+    applyConfig(value, "store");
   }
 
-  function takeEvacuation({ key, value }: KeyedRecord): void {
+  function applyEvacuation({ key, value }: KeyedRecord): void {
     const place = platform.readEvacuatedPlace(key);
     if (place === undefined) return;
     if (value === undefined) evacuation.takeBack(place);
     else evacuation.markEvacuated(place);
   }
 
-  function noteDependency(change: "lost" | "regained", name: string): void {
+  function recordDependency(change: "lost" | "regained", name: string): void {
     log.record(`dependency_${change}`, {
       dependency: name,
       configAge: configAge.read(),
@@ -267,14 +280,14 @@
     });
   }
 
-  const endpointSink: KeyedSink = {
-    noteRestored() {
+  const endpointSink: TopicSink = {
+    handleRestored() {
       roster.noteRestored();
-      noteRestored("endpoints");
+      recordRestored("endpoints");
     },
     replaceAll(records) {
       const endpoints = records.flatMap(readEndpoint);
-      endpoints.forEach(noteCold);
+      endpoints.forEach(recordCold);
       roster.replaceAll(endpoints);
       isEndpointsKnown = true;
     },
@@ -289,23 +302,23 @@
       }
       const [endpoint] = readEndpoint(record);
       if (endpoint !== undefined) putEndpoint(endpoint);
-      // The newest word under its id names nothing that can be used.
+      // The newest record of this id does not describe a usable endpoint.
       else roster.remove(record.key);
     },
-    noteConfirmed: endpointAge.noteConfirmed,
-    noteAway() {
+    recordConfirmed: endpointAge.noteConfirmed,
+    handleUnavailable() {
       roster.noteAway();
-      noteDependency("lost", "instance_list");
+      recordDependency("lost", "instance_list");
     },
-    noteBack() {
+    handleAvailable() {
       roster.noteBack();
-      noteDependency("regained", "instance_list");
+      recordDependency("regained", "instance_list");
     },
   };
 
-  const memberSink: KeyedSink = {
-    noteRestored() {
-      noteRestored("members");
+  const memberSink: TopicSink = {
+    handleRestored() {
+      recordRestored("members");
       options.onRestored();
     },
     replaceAll(records) {
@@ -313,13 +326,13 @@
       isMembersKnown = true;
     },
     apply: options.members.apply,
-    noteConfirmed: () => {},
-    noteAway: () => noteDependency("lost", "members"),
-    noteBack: () => noteDependency("regained", "members"),
+    recordConfirmed: () => {},
+    handleUnavailable: () => recordDependency("lost", "members"),
+    handleAvailable: () => recordDependency("regained", "members"),
   };
 
   function putEndpoint(endpoint: EndpointInfo): void {
-    noteCold(endpoint);
+    recordCold(endpoint);
     if (!roster.put(endpoint)) return;
     log.record("endpoint_changed", {
       endpoint: endpoint.id,
@@ -331,7 +344,7 @@
     });
   }
 
-  function noteCold(endpoint: EndpointInfo): void {
+  function recordCold(endpoint: EndpointInfo): void {
     if (!cold.note(endpoint)) return;
     log.record("endpoint_changed", {
       endpoint: endpoint.id,
@@ -347,14 +360,14 @@
     if (record.value === undefined) return [];
     const decoded = platform.decodeEndpoint(record);
     if (decoded.isOk) return [decoded.value];
-    noteUnreadable(record.key, decoded.error);
+    recordUndecodable(record.key, decoded.error);
     return [];
   }
 
-  /** Others write there too, again and again: one line for each key. */
-  function noteUnreadable(key: string, reason: string): void {
-    if (unreadable.has(key) || unreadable.size >= MAX_UNREADABLE) return;
-    unreadable.add(key);
+  /** Logs one line per key: other writers may write to the topic repeatedly. */
+  function recordUndecodable(key: string, reason: string): void {
+    if (undecodable.has(key) || undecodable.size >= MAX_UNDECODABLE) return;
+    undecodable.add(key);
     logger.warn("An endpoint's record cannot be read.", {
       endpoint: key,
       reason,
@@ -362,22 +375,22 @@
   }
 
   async function follow(signal: AbortSignal): Promise<void> {
-    const sinks: Record<TopicName, KeyedSink> = {
+    const sinks: Record<TopicName, TopicSink> = {
       config: configSink,
       endpoints: endpointSink,
       members: memberSink,
     };
     const topics = Object.keys(sinks) as TopicName[];
     await Promise.all(topics.map((topic) =>
-      followKeyedTopic({
+      followTopic({
         clock,
         random,
         signal,
         source: relays[topic].source,
         sink: sinks[topic],
         readTime: configAge.readTime,
-        wait: TOPIC_PACES[topic].wait,
-        pause: TOPIC_PACES[topic].pause,
+        wait: TOPIC_TIMINGS[topic].wait,
+        pause: TOPIC_TIMINGS[topic].pause,
       })
     ));
   }
@@ -389,17 +402,17 @@
   return {
     readTable: () => table,
     readPublished: () => published,
-    takePublished: (value) => takeConfig(value, "peer"),
+    applyPublished: (value) => applyConfig(value, "peer"),
     configAge,
     directory,
     isCold: (endpoint) =>
       cold.isCold(endpoint) || evacuation.isReturning(endpoint.place),
     readEndpointAge: endpointAge.read,
-    noteUnreachable: cold.noteUnreachable,
+    recordUnreachable: cold.noteUnreachable,
     findPlace: (address) => listAt(address).at(-1)?.place,
     listAt,
     relays,
-    describeConfigReading: () => readings.config.describe(),
+    describeConfigReads: () => reads.config.describe(),
     hasEndpoints: () => isEndpointsKnown,
     hasMembers: () => isMembersKnown,
     follow,
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_knowledge_test.ts
@@ -7,16 +7,16 @@
 import type { KeyedReading, KeyedRecord } from "./serving_handles.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
-import { createSiteKnowledge } from "./site_knowledge.ts";
+import { createSiteState } from "./site_knowledge.ts";
 import { createPosition, createTestEndpoint } from "./test_support.ts";
 
-/** Readings of the endpoints' topic, one after the other. */
-function createSource(readings: readonly (readonly KeyedRecord[])[]) {
+/** Creates a topic source that returns the given reads in order. */
+function createSource(reads: readonly (readonly KeyedRecord[])[]) {
   let next = 0;
   const read = () => {
-    const records = readings[next++] ?? [];
-    const reading = { records, next: createPosition(next) };
-    return Promise.resolve(Result.ok<KeyedReading, never>(reading));
+    const records = reads[next++] ?? [];
+    const result = { records, next: createPosition(next) };
+    return Promise.resolve(Result.ok<KeyedReading, never>(result));
   };
   return { readNewest: read, readFrom: read };
 }
@@ -29,9 +29,9 @@
     : Result.err("it is malformed");
 }
 
-describe("knowledge of a site", () => {
+describe("site state", () => {
   async function follow(
-    readings: readonly (readonly KeyedRecord[])[],
+    reads: readonly (readonly KeyedRecord[])[],
     published: readonly (readonly KeyedRecord[])[] = [],
   ) {
     const clock = createFakeClock(0);
@@ -45,11 +45,11 @@
       configKey: "config",
       readEvacuatedPlace: (key: string) => /^away (.*)/.exec(key)?.[1],
       decodeConfig: () => Result.err("there is none"),
-      endpointSource: createSource(readings),
+      endpointSource: createSource(reads),
       decodeEndpoint,
       members: { source: createSource([]) },
     } as unknown as ServingPlatform;
-    const knowledge = createSiteKnowledge({
+    const siteState = createSiteState({
       clock,
       readWallTime: clock.now,
       random: () => 0.5,
@@ -57,32 +57,33 @@
       logger,
       metrics: createServingMetrics("entry"),
       platform,
-      shareSource: (_topic, source) => source,
+      createRelayedSource: (_topic, source) => source,
       onConfig: () => {},
       onEndpoints: () => {},
       members: { replaceAll: () => {}, apply: () => {} },
       onRestored: () => {},
     });
     const controller = new AbortController();
-    void knowledge.follow(controller.signal);
+    void siteState.follow(controller.signal);
     await clock.advance(2_500);
     controller.abort();
-    const usable = knowledge.directory.listUsable("pool").map(({ id }) => id);
+    const usable = siteState.directory.listUsable("pool").map(({ id }) => id);
     return { usable, warnings };
   }
 
-  // Others write into the topic of the endpoints, again and again. What they
-  // write names no endpoint, and a line for each reading would hide all others.
-  it("tells a record that cannot be read once", async () => {
+  // Other writers may write repeatedly to the topic of the endpoints. Their
+  // records describe no endpoint, and a line for each read would flood the log.
+  it("logs a record that cannot be decoded only once", async () => {
     const page = [{ key: "e1", value: "good" }, { key: "other", value: "?" }];
     const { usable, warnings } = await follow([page, page, page]);
     expect(usable).to.deep.equal(["e1"]);
     expect(warnings).to.deep.equal(["other"]);
   });
 
-  // The newest record under an endpoint's id is another writer's: it names
-  // nothing to use. The endpoint's next heartbeat brings it back.
-  it("uses no endpoint whose newest record cannot be read", async () => {
+  // The newest record with an endpoint's id was written by another writer and
+  // describes nothing usable. The endpoint's next heartbeat makes it usable
+  // again.
+  it("uses no endpoint whose newest record cannot be decoded", async () => {
     const good = [{ key: "e1", value: "good" }, { key: "e2", value: "good" }];
     const spoilt = [{ key: "e1", value: "?" }];
     expect((await follow([good, spoilt])).usable).to.deep.equal(["e2"]);
@@ -91,9 +92,9 @@
       .to.have.members(["e1", "e2"]);
   });
 
-  // The operator empties a place: its endpoints go on serving what they have, and
-  // say of themselves that they are ready.
-  it("uses no endpoint of an evacuated place until it is back", async () => {
+  // The operator evacuates a place: its endpoints continue to serve the
+  // requests that they have, and still report that they are ready.
+  it("uses no endpoint of an evacuated place until it is cleared", async () => {
     const endpoints = [
       { key: "e1", value: "good a" },
       { key: "e2", value: "good b" },
--- a/packages/serving/src/topic_asker_test.ts
+++ b/packages/serving/src/topic_asker_test.ts
@@ -3,27 +3,30 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { createPosition } from "./test_support.ts";
-import { answerTopics, createTopicAsker } from "./topic_asker.ts";
+import {
+  createTopicRequestBatcher,
+  handleTopicRequests,
+} from "./topic_asker.ts";
 
-const NEWS: TopicNews = {
+const REPLY: TopicNews = {
   kind: "records",
   records: [],
   next: createPosition(1),
   age: 0,
 };
 
-function createQuestion(
+function createRequest(
   topic: TopicQuestion["topic"],
   wait: Millis,
 ): TopicQuestion {
   return { topic, from: createPosition(1), wait, confirmWait: 0 };
 }
 
-describe("asking about several topics", () => {
+describe("topic request batcher", () => {
   function create(answer?: readonly TopicNews[]) {
     const clock = createFakeClock(0);
     const sent: string[] = [];
-    const asker = createTopicAsker({
+    const batcher = createTopicRequestBatcher({
       clock,
       send: (address, questions) => {
         const topics = questions.map(({ topic }) => topic).join("+");
@@ -31,40 +34,41 @@
         return Promise.resolve(answer);
       },
     });
-    return { clock, sent, asker };
+    return { clock, sent, batcher };
   }
 
-  // Eighty entries at rest asked their relays four times a second each, which
-  // took more processor than all requests.
-  it("sends what is asked of one entry together", async () => {
-    const { clock, sent, asker } = create([NEWS, { kind: "unknown" }]);
-    const first = asker.ask("a", createQuestion("config", 300));
+  // Unbatched, 80 idle entries made four requests a second each to their
+  // relays, which took more processor time than all callers' requests.
+  it("sends requests to one entry in one message", async () => {
+    const { clock, sent, batcher } = create([REPLY, { kind: "unknown" }]);
+    const first = batcher.request("a", createRequest("config", 300));
     await clock.advance(20);
-    const second = asker.ask("a", createQuestion("endpoints", 600));
-    const other = asker.ask("b", createQuestion("members", 600));
+    const second = batcher.request("a", createRequest("endpoints", 600));
+    const other = batcher.request("b", createRequest("members", 600));
     await clock.advance(40);
     expect(sent).to.deep.equal(["a config+endpoints", "b members"]);
-    expect(await first).to.deep.equal(NEWS);
+    expect(await first).to.deep.equal(REPLY);
     expect(await second).to.deep.equal({ kind: "unknown" });
-    expect(await other).to.deep.equal(NEWS);
+    expect(await other).to.deep.equal(REPLY);
   });
 
-  // The entry that was asked first is silent; a key may have been taken away.
-  it("does not let a question wait that must not", async () => {
-    const { sent, asker } = create();
-    expect(await asker.ask("a", createQuestion("config", 0))).to.equal(
+  // The entry that was asked first does not answer; a key may have been
+  // revoked.
+  it("sends a request without a wait at once", async () => {
+    const { sent, batcher } = create();
+    expect(await batcher.request("a", createRequest("config", 0))).to.equal(
       undefined,
     );
     expect(sent).to.deep.equal(["a config"]);
   });
 
-  it("answers all once one has news", async () => {
+  it("answers all requests once one has an update", async () => {
     const clock = createFakeClock(0);
     const waits = { config: 500, endpoints: 200, members: 3_000 };
     const createRelay = (wait: Millis) => ({
       answer: async (_: TopicQuestion, signal?: AbortSignal) => {
         await clock.sleep(wait, signal);
-        return NEWS;
+        return REPLY;
       },
     });
     const relays = {
@@ -73,13 +77,13 @@
       members: createRelay(waits.members),
     };
     let answered: Millis | undefined;
-    const answers = answerTopics(relays, [
-      createQuestion("config", 500),
-      createQuestion("endpoints", 200),
-      createQuestion("members", 3_000),
-    ]).then((news) => {
+    const answers = handleTopicRequests(relays, [
+      createRequest("config", 500),
+      createRequest("endpoints", 200),
+      createRequest("members", 3_000),
+    ]).then((replies) => {
       answered = clock.now();
-      return news;
+      return replies;
     });
     await clock.advance(250);
     expect(await answers).to.have.length(3);
