--- a/packages/coordination/src/address_choice.ts
+++ b/packages/coordination/src/address_choice.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
-import { drawSome } from "./draw.ts";
+import { sampleItems } from "./draw.ts";
 import type {
   PeerHealth,
   PeerRecord,
@@ -31,7 +31,7 @@
 }
 
 /** Options of {@linkcode chooseAddresses}. */
-export interface AddressChoiceOptions {
+export interface AddressSelectionOptions {
   /** The place that the caller is in, if the caller reported it. */
   callerPlace: string | undefined;
   limit: number;
@@ -39,7 +39,7 @@
 }
 
 /** The order in which to try entries, and how long to cache it. */
-export interface AddressChoice {
+export interface AddressSelection {
   ordered: AddressCandidate[];
   /** How long a caller may cache the answer. */
   keep: Millis;
@@ -64,8 +64,8 @@
 /** Selects addresses for one caller. */
 export function chooseAddresses(
   candidates: readonly AddressCandidate[],
-  { callerPlace, limit, random }: AddressChoiceOptions,
-): AddressChoice {
+  { callerPlace, limit, random }: AddressSelectionOptions,
+): AddressSelection {
   const usable = candidates.filter(isUsable);
   const isChanging = usable.length < candidates.length;
   const keep = (isChanging ? CHANGING_TTL : STABLE_TTL) *
@@ -84,14 +84,14 @@
   return { ordered, keep: Math.round(keep) };
 }
 
-/** Options of {@linkcode drawEntries}. */
+/** Options of {@linkcode sampleEntries}. */
 export interface EntrySampleOptions {
   limit: number;
   random: () => number;
   /**
    * Whether this entry has just started and has discovered few other entries.
    */
-  isLearning: boolean;
+  isDiscovering: boolean;
 }
 
 /**
@@ -104,15 +104,18 @@
  * During that time the other listed entries are reported as well, although some
  * may have ended.
  */
-export function drawEntries(
+export function sampleEntries(
   views: readonly Pick<PeerView, "record" | "health">[],
-  { limit, random, isLearning }: EntrySampleOptions,
+  { limit, random, isDiscovering }: EntrySampleOptions,
 ): PeerRecord[] {
   const usable = views.filter(({ record, health }) =>
     record.state === "live" &&
-    (health === "alive" || (isLearning && health === "suspected"))
+    (health === "alive" || (isDiscovering && health === "suspected"))
   );
-  return drawSome(usable.map(({ record }) => record), { count: limit, random });
+  return sampleItems(usable.map(({ record }) => record), {
+    count: limit,
+    random,
+  });
 }
 
 function isUsable({ state, health }: AddressCandidate): boolean {
--- a/packages/coordination/src/address_choice_test.ts
+++ b/packages/coordination/src/address_choice_test.ts
@@ -2,7 +2,7 @@
 import { MersenneTwister19937, Random } from "random-js";
 import type { AddressCandidate } from "./address_choice.ts";
 import type { PeerHealth, PeerRecord } from "./membership.ts";
-import { chooseAddresses, drawEntries } from "./address_choice.ts";
+import { chooseAddresses, sampleEntries } from "./address_choice.ts";
 
 function candidate(
   entry: string,
@@ -93,10 +93,10 @@
     const views = createViews(195, "alive");
     const counts = new Map<string, number>();
     for (let answer = 0; answer < 1_000; answer++) {
-      const sample = drawEntries(views, {
+      const sample = sampleEntries(views, {
         limit: 64,
         random,
-        isLearning: false,
+        isDiscovering: false,
       });
       expect(new Set(sample).size).to.equal(64);
       for (const { entry } of sample) {
@@ -111,8 +111,8 @@
   // others, and every caller in its place asks it.
   it("include suspected entries while this one has just started", () => {
     const views = [...createViews(3, "alive"), ...createViews(60, "suspected")];
-    const count = (isLearning: boolean) =>
-      drawEntries(views, { limit: 64, random, isLearning }).length;
+    const count = (isDiscovering: boolean) =>
+      sampleEntries(views, { limit: 64, random, isDiscovering }).length;
     expect(count(true)).to.equal(63);
     expect(count(false)).to.equal(3);
   });
@@ -125,7 +125,7 @@
         health,
       })),
     ];
-    expect(drawEntries(views, { limit: 64, random, isLearning: true }))
+    expect(sampleEntries(views, { limit: 64, random, isDiscovering: true }))
       .to.deep.equal([]);
   });
 });
--- a/packages/coordination/src/admission.ts
+++ b/packages/coordination/src/admission.ts
@@ -54,7 +54,7 @@
    * Sheds load from classes below a priority that misses deadlines at another
    * entry.
    */
-  relieve(strainedPriority: number): void;
+  shedBelow(strainedPriority: number): void;
   /** Admits a request, or refuses it with the verdict `not_run`. */
   admit(request: AdmissionRequest): Result<AdmittedRequest, Failure>;
 }
@@ -194,7 +194,7 @@
     get strainedPriority() {
       return computeStrainedPriority();
     },
-    relieve(strainedPriority) {
+    shedBelow(strainedPriority) {
       if (strainedPriority > 0) shedLowest(strainedPriority + 1);
     },
     admit,
--- a/packages/coordination/src/caller_elapsed.ts
+++ b/packages/coordination/src/caller_elapsed.ts
@@ -12,7 +12,7 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 
 /** Learns the time budget that callers of a route have for a first attempt. */
-export interface CallerElapsed {
+export interface ElapsedEstimator {
   /**
    * Returns how long ago a caller with `budget` left made its first attempt.
    */
@@ -29,7 +29,7 @@
 }
 
 /** Creates an estimator that has seen no request. */
-export function createCallerElapsed(clock: Clock): CallerElapsed {
+export function createElapsedEstimator(clock: Clock): ElapsedEstimator {
   const routes = new Map<string, RouteMemory>();
 
   function find(route: string): RouteMemory {
--- a/packages/coordination/src/caller_elapsed_test.ts
+++ b/packages/coordination/src/caller_elapsed_test.ts
@@ -1,11 +1,11 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createCallerElapsed } from "./caller_elapsed.ts";
+import { createElapsedEstimator } from "./caller_elapsed.ts";
 
 describe("time since a caller's first attempt", () => {
   function create() {
     const clock = createFakeClock(0);
-    return { clock, estimator: createCallerElapsed(clock) };
+    return { clock, estimator: createElapsedEstimator(clock) };
   }
 
   // In a burst a caller was refused and retried after two seconds. It is late
--- a/packages/coordination/src/class_limit_test.ts
+++ b/packages/coordination/src/class_limit_test.ts
@@ -64,7 +64,7 @@
     for (let i = 0; i < 60; i++) {
       strained.admit(RULINGS)?.end({ kind: "missed" });
       const chat = busy.admit(CHAT);
-      busy.admission.relieve(strained.admission.strainedPriority);
+      busy.admission.shedBelow(strained.admission.strainedPriority);
       chat?.end({ kind: "other" });
       await strained.clock.advance(200);
       await busy.clock.advance(200);
--- a/packages/coordination/src/cold_allowance.ts
+++ b/packages/coordination/src/cold_allowance.ts
@@ -36,7 +36,7 @@
   /** Whether an endpoint is cold, or may be. */
   isCold: (endpoint: EndpointInfo) => boolean;
   /** Returns the age of the endpoint data. */
-  readNewsAge: () => Millis;
+  readUpdateAge: () => Millis;
   /**
    * Returns the requests per second that a cold endpoint of a pool can take; 0
    * means unlimited.
@@ -47,9 +47,9 @@
 /** The requests that this entry may send to cold endpoints. */
 export interface ColdAllowance {
   /** Whether this entry may send a request to the endpoint now. */
-  mayBegin(endpoint: EndpointInfo): boolean;
+  maySend(endpoint: EndpointInfo): boolean;
   /** Counts a request sent to the endpoint. */
-  begin(endpoint: EndpointInfo): void;
+  recordSend(endpoint: EndpointInfo): void;
 }
 
 /**
@@ -85,7 +85,7 @@
 
 /** Creates the allowance of an entry that has sent nothing. */
 export function createColdAllowance(
-  { clock, entry, listEntries, isCold, readNewsAge, readRate }:
+  { clock, entry, listEntries, isCold, readUpdateAge, readRate }:
     ColdAllowanceOptions,
 ): ColdAllowance {
   const buckets = createTokenBuckets({ clock, start: "full" });
@@ -111,7 +111,7 @@
       const perSecond = USED_SHARE * rate / countSenders(endpoint);
       return { rate: { perSecond, size: BUCKET_SIZE }, isSenderOnly: true };
     }
-    if (readNewsAge() <= STALE_AFTER) return undefined;
+    if (readUpdateAge() <= STALE_AFTER) return undefined;
     const perSecond = STALE_SHARE * rate;
     return {
       rate: { perSecond, size: STALE_BUCKET_SIZE },
@@ -120,7 +120,7 @@
   }
 
   return {
-    mayBegin(endpoint) {
+    maySend(endpoint) {
       const limit = chooseLimit(endpoint);
       if (limit === undefined) return true;
       const isSender = !limit.isSenderOnly ||
@@ -128,7 +128,7 @@
       const tokens = buckets.read(formatEndpointKey(endpoint), limit.rate);
       return isSender && tokens >= BUCKET_SIZE;
     },
-    begin(endpoint) {
+    recordSend(endpoint) {
       const limit = chooseLimit(endpoint);
       if (limit === undefined) return;
       buckets.take(formatEndpointKey(endpoint), limit.rate);
--- a/packages/coordination/src/cold_allowance_replay_test.ts
+++ b/packages/coordination/src/cold_allowance_replay_test.ts
@@ -53,13 +53,13 @@
   );
   const allowances = names.map((name, entry) => {
     const cold = createColdEndpoints(clock);
-    if (entry !== load.uninformed) infos.forEach(cold.note);
+    if (entry !== load.uninformed) infos.forEach(cold.record);
     return createColdAllowance({
       clock,
       entry: name,
       listEntries: () => load.listKnown(entry, names),
       isCold: cold.isCold,
-      readNewsAge: () => entry === load.uninformed ? 3_000 : 0,
+      readUpdateAge: () => entry === load.uninformed ? 3_000 : 0,
       readRate: () => RATE,
     });
   });
@@ -78,9 +78,9 @@
   function sendOne(): boolean {
     const allowance = allowances[random.integer(0, entries - 1)];
     const order = isHot ? infos : random.shuffle([...infos]);
-    const endpoint = order.find((info) => allowance?.mayBegin(info));
+    const endpoint = order.find((info) => allowance?.maySend(info));
     if (endpoint === undefined) return false;
-    allowance?.begin(endpoint);
+    allowance?.recordSend(endpoint);
     const times = arrivals.get(endpoint.id) ?? [];
     arrivals.set(endpoint.id, times);
     times.push(clock.now());
--- a/packages/coordination/src/cold_endpoints.ts
+++ b/packages/coordination/src/cold_endpoints.ts
@@ -13,12 +13,12 @@
   /**
    * Applies what an endpoint reports of itself; returns whether it became cold.
    */
-  note(endpoint: EndpointInfo): boolean;
+  record(endpoint: EndpointInfo): boolean;
   /**
    * Records that nothing listened at the endpoint's address; whatever listens
    * there next has just started.
    */
-  noteUnreachable(endpoint: EndpointInfo): void;
+  recordUnreachable(endpoint: EndpointInfo): void;
   isCold(endpoint: EndpointInfo): boolean;
 }
 
@@ -49,7 +49,7 @@
     if (until > (coldUntil.get(key) ?? 0)) coldUntil.set(key, until);
   }
 
-  function note(endpoint: EndpointInfo): boolean {
+  function record(endpoint: EndpointInfo): boolean {
     const { coldLeft = 0 } = endpoint;
     if (coldLeft === 0) return false;
     const wasCold = isCold(endpoint);
@@ -59,8 +59,8 @@
   }
 
   return {
-    note,
-    noteUnreachable: (endpoint) => recordColdFor(endpoint, REPORT_DELAY),
+    record,
+    recordUnreachable: (endpoint) => recordColdFor(endpoint, REPORT_DELAY),
     isCold,
   };
 }
--- a/packages/coordination/src/cold_endpoints_test.ts
+++ b/packages/coordination/src/cold_endpoints_test.ts
@@ -23,9 +23,9 @@
 
   it("stay cold for as long as they report", async () => {
     const { clock, cold } = create();
-    expect(cold.note(createEndpoint({ coldLeft: 2_000 }))).to.equal(true);
+    expect(cold.record(createEndpoint({ coldLeft: 2_000 }))).to.equal(true);
     await clock.advance(1_000);
-    expect(cold.note(createEndpoint({ coldLeft: 900 }))).to.equal(false);
+    expect(cold.record(createEndpoint({ coldLeft: 900 }))).to.equal(false);
     expect(cold.isCold(createEndpoint())).to.equal(true);
     await clock.advance(1_100);
     expect(cold.isCold(createEndpoint())).to.equal(false);
@@ -34,14 +34,14 @@
   // A peer passes on a reading from before the endpoint became cold.
   it("stay cold despite an older report", () => {
     const { cold } = create();
-    cold.note(createEndpoint({ coldLeft: 2_000 }));
-    cold.note(createEndpoint());
+    cold.record(createEndpoint({ coldLeft: 2_000 }));
+    cold.record(createEndpoint());
     expect(cold.isCold(createEndpoint())).to.equal(true);
   });
 
   it("are distinguished by incarnation", () => {
     const { cold } = create();
-    cold.note(createEndpoint({ coldLeft: 2_000 }));
+    cold.record(createEndpoint({ coldLeft: 2_000 }));
     expect(cold.isCold(createEndpoint({ incarnation: "2" }))).to.equal(false);
   });
 
@@ -50,7 +50,7 @@
   // usual rate.
   it("include those that refused a connection a moment ago", async () => {
     const { clock, cold } = create();
-    cold.noteUnreachable(createEndpoint());
+    cold.recordUnreachable(createEndpoint());
     await clock.advance(2_000);
     expect(cold.isCold(createEndpoint())).to.equal(true);
     await clock.advance(600);
--- a/packages/coordination/src/config_fold.ts
+++ b/packages/coordination/src/config_fold.ts
@@ -61,13 +61,13 @@
    */
   readonly isComplete: boolean;
   /** Starts reading at `offset` because older records have expired. */
-  startAt(offset: number): void;
+  startFrom(offset: number): void;
   apply(record: ConfigRecord<T>, position: LogPosition): FoldOutcome;
   /**
    * Applies a peer's configuration in force if it is newer; used while the log
    * is unavailable.
    */
-  adopt(state: ConfigInForce<T>): FoldOutcome;
+  applyPeerConfig(state: ConfigInForce<T>): FoldOutcome;
 }
 
 interface PendingPublish<T> {
@@ -89,7 +89,7 @@
   let gapBefore: number | undefined;
   let pending: PendingPublish<T>[] = [];
 
-  function startAt(offset: number): void {
+  function startFrom(offset: number): void {
     if (offset <= asOf + 1) return;
     gapBefore = offset;
     pending = [];
@@ -136,7 +136,7 @@
     }
   }
 
-  function adopt(state: ConfigInForce<T>): FoldOutcome {
+  function applyPeerConfig(state: ConfigInForce<T>): FoldOutcome {
     if (state.version <= (inForce?.version ?? 0)) return "ignored";
     const outcome = applyState(state);
     if (gapBefore !== undefined && state.asOf + 1 >= gapBefore) {
@@ -167,8 +167,8 @@
     get isComplete() {
       return gapBefore === undefined;
     },
-    startAt,
+    startFrom,
     apply,
-    adopt,
+    applyPeerConfig,
   };
 }
--- a/packages/coordination/src/config_fold_test.ts
+++ b/packages/coordination/src/config_fold_test.ts
@@ -29,7 +29,7 @@
 /** Reads `records` from `start` on, like an entry that starts late. */
 function fold(records: readonly Record[], start = 0) {
   const reader = createConfigFold<string>();
-  if (start > 0) reader.startAt(start);
+  if (start > 0) reader.startFrom(start);
   records.forEach((record, offset) => {
     if (offset >= start) reader.apply(record, { offset });
   });
@@ -101,8 +101,8 @@
       asOf: 9,
       config: "c",
     };
-    expect(reader.adopt(peer)).to.equal("in_force");
-    expect(reader.adopt({ ...peer, version: 2 })).to.equal("ignored");
+    expect(reader.applyPeerConfig(peer)).to.equal("in_force");
+    expect(reader.applyPeerConfig({ ...peer, version: 2 })).to.equal("ignored");
     reader.apply(publish("b", 1), { offset: 1 });
     expect(reader.inForce).to.include({ version: 3, config: "c" });
   });
--- a/packages/coordination/src/draw.ts
+++ b/packages/coordination/src/draw.ts
@@ -5,7 +5,7 @@
  */
 
 /** Samples items of a list uniformly, without replacement. */
-export function drawSome<T>(
+export function sampleItems<T>(
   from: readonly T[],
   { count, random }: { count: number; random: () => number },
 ): T[] {
--- a/packages/coordination/src/endpoint_directory.ts
+++ b/packages/coordination/src/endpoint_directory.ts
@@ -19,7 +19,7 @@
 export type LeavingSource = "instance_list" | "endpoint" | "peer";
 
 /** What a mark that an endpoint is leaving is based on. */
-export interface LeavingGround {
+export interface LeavingEvidence {
   /** Time since the endpoint reported it, or since it was inferred. */
   age?: Millis;
   /** Whether the endpoint itself reported it. */
@@ -41,7 +41,7 @@
    * How long an inferred mark is valid without confirmation by the instance
    * list.
    */
-  markLifetime: Millis;
+  markTtl: Millis;
   /**
    * Whether a place is evacuated; its endpoints get no new work, whatever they
    * report.
@@ -54,13 +54,13 @@
   /** Replaces the endpoints with those in the instance list. */
   replaceAll(endpoints: readonly EndpointInfo[]): void;
   /** Marks an endpoint as leaving; returns whether the mark is new. */
-  markLeaving(endpointKey: string, evidence?: LeavingGround): boolean;
+  markLeaving(endpointKey: string, evidence?: LeavingEvidence): boolean;
   /** Lists the endpoints of `pool` that accept new work. */
   listUsable(pool: string): EndpointInfo[];
   /** Lists all endpoints in the instance list. */
   listAll(): EndpointInfo[];
   /** Selects the most recent marks for peers, at most `limit`. */
-  chooseMarks(limit: number): LeavingMark[];
+  chooseLeavingMarks(limit: number): LeavingMark[];
 }
 
 interface Mark {
@@ -75,7 +75,7 @@
 
 /** Creates an empty directory. */
 export function createEndpointDirectory(
-  { clock, markLifetime, isEvacuated = () => false }: EndpointDirectoryOptions,
+  { clock, markTtl, isEvacuated = () => false }: EndpointDirectoryOptions,
 ): EndpointDirectory {
   let endpoints: readonly EndpointInfo[] = [];
   /** By endpoint key. */
@@ -84,19 +84,19 @@
   function isMarked(endpointKey: string): boolean {
     const mark = marks.get(endpointKey);
     if (mark === undefined) return false;
-    if (mark.isSaid || clock.now() - mark.markedAt <= markLifetime) return true;
+    if (mark.isSaid || clock.now() - mark.markedAt <= markTtl) return true;
     marks.delete(endpointKey);
     return false;
   }
 
   function markLeaving(
     endpointKey: string,
-    { age = 0, isSaid = false }: LeavingGround = {},
+    { age = 0, isSaid = false }: LeavingEvidence = {},
   ): boolean {
     // The age is sent with the mark; otherwise two entries would keep a false
     // alarm alive by sending it back and forth.
     const markedAt = clock.now() - age;
-    if (!isSaid && age > markLifetime) return false;
+    if (!isSaid && age > markTtl) return false;
     const known = marks.get(endpointKey);
     if (known?.isSaid) return false;
     if (known !== undefined && !isSaid && known.markedAt >= markedAt) {
@@ -106,7 +106,7 @@
     return known === undefined;
   }
 
-  function chooseMarks(limit: number): LeavingMark[] {
+  function chooseLeavingMarks(limit: number): LeavingMark[] {
     const now = clock.now();
     return [...marks]
       .filter(([endpointKey]) => isMarked(endpointKey))
@@ -132,6 +132,6 @@
         !isMarked(formatEndpointKey(endpoint))
       ),
     listAll: () => [...endpoints],
-    chooseMarks,
+    chooseLeavingMarks,
   };
 }
--- a/packages/coordination/src/endpoint_directory_test.ts
+++ b/packages/coordination/src/endpoint_directory_test.ts
@@ -22,7 +22,7 @@
 describe("endpoint directory", () => {
   function create() {
     const clock = createFakeClock(0);
-    const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
+    const directory = createEndpointDirectory({ clock, markTtl: 1_000 });
     directory.replaceAll([endpoint("e1"), endpoint("e2")]);
     const listIds = () => directory.listUsable("encoder").map(({ id }) => id);
     return { clock, directory, listIds };
@@ -52,12 +52,12 @@
     const key = formatEndpointKey(endpoint("e1"));
     directory.markLeaving(key);
     directory.markLeaving(key, { age: 5_000, isSaid: true });
-    expect(directory.chooseMarks(10)).to.deep.equal([
+    expect(directory.chooseLeavingMarks(10)).to.deep.equal([
       { endpointKey: key, age: 5_000, isSaid: true },
     ]);
     await clock.advance(60_000);
     expect(listIds()).to.deep.equal(["e2"]);
-    expect(directory.chooseMarks(10)).to.deep.equal([]);
+    expect(directory.chooseLeavingMarks(10)).to.deep.equal([]);
   });
 
   it("drops a false alarm that the instance list does not confirm", async () => {
@@ -90,7 +90,7 @@
     const key = formatEndpointKey(endpoint("e1"));
     directory.markLeaving(key);
     await clock.advance(900);
-    const [mark] = directory.chooseMarks(10);
+    const [mark] = directory.chooseLeavingMarks(10);
     directory.markLeaving(key, mark);
     await clock.advance(200);
     expect(listIds()).to.deep.equal(["e1", "e2"]);
--- a/packages/coordination/src/endpoint_health.ts
+++ b/packages/coordination/src/endpoint_health.ts
@@ -13,7 +13,7 @@
 export interface EndpointHealth {
   readonly cause: EjectionCause | undefined;
   /** Latency relative to what is expected; 1 is normal. */
-  readonly slowness: number;
+  readonly slowdown: number;
   isEjected(): boolean;
   recordSuccess(ratio: number): void;
   recordFailure(cause: "unreachable" | "failing"): void;
@@ -73,7 +73,7 @@
     get cause() {
       return isEjected() ? cause : undefined;
     },
-    get slowness() {
+    get slowdown() {
       return slowdown;
     },
     isEjected,
@@ -101,11 +101,11 @@
   const inUse = pool.filter((health) => !health.isEjected());
   const ejected = pool.length - inUse.length;
   if (ejected + 1 > Math.floor(pool.length * SLOW_SHARE)) return undefined;
-  const sorted = [...inUse].sort((a, b) => a.slowness - b.slowness);
+  const sorted = [...inUse].sort((a, b) => a.slowdown - b.slowdown);
   const median = sorted[Math.floor((sorted.length - 1) / 2)];
   const slowest = sorted.at(-1);
   if (median === undefined || slowest === undefined) return undefined;
-  if (slowest.slowness < SLOW_FACTOR * median.slowness) return undefined;
+  if (slowest.slowdown < SLOW_FACTOR * median.slowdown) return undefined;
   slowest.eject("slow");
   return slowest;
 }
--- a/packages/coordination/src/endpoint_limits.ts
+++ b/packages/coordination/src/endpoint_limits.ts
@@ -9,10 +9,10 @@
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import { putBounded } from "@mangoreach/shared";
-import { drawSome } from "./draw.ts";
+import { sampleItems } from "./draw.ts";
 
 /** The last report about an endpoint's limit, as sent to other entries. */
-export interface LimitNews {
+export interface LimitUpdate {
   /** See {@linkcode formatEndpointKey}. */
   endpointKey: string;
   /**
@@ -32,21 +32,21 @@
    * and nothing else is known about its age. Answers may arrive out of order,
    * and an older one must not withdraw a newer limit.
    */
-  note(
+  record(
     endpointKey: string,
     rateLimit: number | undefined,
     sentAt: Millis,
   ): void;
   /** Applies an update from another entry. */
-  takeNews(update: LimitNews): void;
+  applyUpdate(update: LimitUpdate): void;
   /** Samples recent reports, at most `count`. */
-  chooseNews(count: number): LimitNews[];
+  chooseUpdates(count: number): LimitUpdate[];
   /** Whether no limit is known. */
   isEmpty(): boolean;
   /** Returns the limit in force. */
   find(endpointKey: string): number | undefined;
   /** Whether no entry has confirmed the limit in force for a while. */
-  isOld(endpointKey: string): boolean;
+  isStale(endpointKey: string): boolean;
 }
 
 /** Options of {@linkcode createEndpointLimits}. */
@@ -100,7 +100,7 @@
     return undefined;
   }
 
-  function note(
+  function record(
     endpointKey: string,
     rateLimit: number | undefined,
     sentAt: Millis,
@@ -114,7 +114,7 @@
     put(endpointKey, { rateLimit: null, reportedAt: sentAt, isBinding: true });
   }
 
-  function takeNews({ endpointKey, rateLimit, age }: LimitNews): void {
+  function applyUpdate({ endpointKey, rateLimit, age }: LimitUpdate): void {
     const known = reports.get(endpointKey);
     const reportedAt = clock.now() - age;
     if (known !== undefined && known.reportedAt >= reportedAt) return;
@@ -124,7 +124,7 @@
     put(endpointKey, { rateLimit, reportedAt, isBinding });
   }
 
-  function chooseNews(count: number): LimitNews[] {
+  function chooseUpdates(count: number): LimitUpdate[] {
     const now = clock.now();
     const recent = [...reports]
       .map(([endpointKey, { rateLimit, reportedAt }]) => ({
@@ -133,16 +133,16 @@
         age: now - reportedAt,
       }))
       .filter(({ age }) => age <= PROPAGATION_TIME);
-    return drawSome(recent, { count, random });
+    return sampleItems(recent, { count, random });
   }
 
   return {
-    note,
-    takeNews,
-    chooseNews,
+    record,
+    applyUpdate,
+    chooseUpdates,
     isEmpty: () => reports.size === 0,
     find: (endpointKey) => findInForce(endpointKey)?.rateLimit ?? undefined,
-    isOld(endpointKey) {
+    isStale(endpointKey) {
       const report = findInForce(endpointKey);
       return report !== undefined &&
         clock.now() - report.reportedAt > STALE_AFTER;
--- a/packages/coordination/src/endpoint_limits_test.ts
+++ b/packages/coordination/src/endpoint_limits_test.ts
@@ -22,22 +22,22 @@
     { name: "nothing", report: () => {}, expected: undefined },
     {
       name: "a direct report",
-      report: (limits) => limits.note(KEY, 2, 0),
+      report: (limits) => limits.record(KEY, 2, 0),
       expected: 2,
     },
     {
       name: "a direct report that changes",
       report(limits) {
-        limits.note(KEY, 2, 0);
-        limits.note(KEY, 0.5, 0);
+        limits.record(KEY, 2, 0);
+        limits.record(KEY, 0.5, 0);
       },
       expected: 0.5,
     },
     {
       name: "a direct report that is withdrawn",
       report(limits) {
-        limits.note(KEY, 2, 0);
-        limits.note(KEY, undefined, 0);
+        limits.record(KEY, 2, 0);
+        limits.record(KEY, undefined, 0);
       },
       expected: undefined,
     },
@@ -47,8 +47,8 @@
       name: "a direct report, and an answer to a request sent before it",
       async report(limits, clock) {
         await clock.advance(1_000);
-        limits.note(KEY, 2, 900);
-        limits.note(KEY, undefined, 950);
+        limits.record(KEY, 2, 900);
+        limits.record(KEY, undefined, 950);
       },
       expected: 2,
     },
@@ -56,20 +56,20 @@
       // Nothing is sent, so no answer arrives; that ends no limit.
       name: "a direct report of a minute ago",
       async report(limits, clock) {
-        limits.note(KEY, 2, 0);
+        limits.record(KEY, 2, 0);
         await clock.advance(60_000);
       },
       expected: 2,
     },
     {
       name: "another entry's report",
-      report: (limits) => limits.takeNews(createUpdate(2, 100)),
+      report: (limits) => limits.applyUpdate(createUpdate(2, 100)),
       expected: 2,
     },
     {
       name: "another entry's report of a minute ago",
       async report(limits, clock) {
-        limits.takeNews(createUpdate(2, 100));
+        limits.applyUpdate(createUpdate(2, 100));
         await clock.advance(60_000);
       },
       expected: undefined,
@@ -77,9 +77,9 @@
     {
       name: "a direct report that another entry saw withdrawn",
       async report(limits, clock) {
-        limits.note(KEY, 2, 0);
+        limits.record(KEY, 2, 0);
         await clock.advance(1_000);
-        limits.takeNews(createUpdate(null, 100));
+        limits.applyUpdate(createUpdate(null, 100));
       },
       expected: undefined,
     },
@@ -87,17 +87,17 @@
       name: "a direct report, and an older update that it was withdrawn",
       async report(limits, clock) {
         await clock.advance(1_000);
-        limits.note(KEY, 2, 0);
-        limits.takeNews(createUpdate(null, 500));
+        limits.record(KEY, 2, 0);
+        limits.applyUpdate(createUpdate(null, 500));
       },
       expected: 2,
     },
     {
       name: "a direct report that another entry received again",
       async report(limits, clock) {
-        limits.note(KEY, 2, 0);
+        limits.record(KEY, 2, 0);
         await clock.advance(1_000);
-        limits.takeNews(createUpdate(3, 100));
+        limits.applyUpdate(createUpdate(3, 100));
         await clock.advance(60_000);
       },
       expected: 3,
@@ -115,12 +115,12 @@
   it("are propagated with their age, and so is their end", async () => {
     const clock = createFakeClock(0);
     const limits = createEndpointLimits({ clock, random: () => 0 });
-    limits.note(KEY, 2, 0);
+    limits.record(KEY, 2, 0);
     await clock.advance(300);
-    expect(limits.chooseNews(4)).to.deep.equal([createUpdate(2, 300)]);
-    limits.note(KEY, undefined, 200);
-    expect(limits.chooseNews(4)).to.deep.equal([createUpdate(null, 100)]);
+    expect(limits.chooseUpdates(4)).to.deep.equal([createUpdate(2, 300)]);
+    limits.record(KEY, undefined, 200);
+    expect(limits.chooseUpdates(4)).to.deep.equal([createUpdate(null, 100)]);
     await clock.advance(60_000);
-    expect(limits.chooseNews(4)).to.deep.equal([]);
+    expect(limits.chooseUpdates(4)).to.deep.equal([]);
   });
 });
--- a/packages/coordination/src/endpoint_pauses.ts
+++ b/packages/coordination/src/endpoint_pauses.ts
@@ -17,7 +17,7 @@
    * Records that an endpoint accepts nothing from this entry for the duration
    * of `pause`.
    */
-  note(endpointKey: string, pause: Millis): void;
+  record(endpointKey: string, pause: Millis): void;
   /** Returns the remaining pause of an endpoint, or 0 if there is none. */
   readLeft(endpointKey: string): Millis;
   /** Whether no pause is known. */
@@ -42,11 +42,11 @@
    * Answers may arrive out of order, so a shorter pause does not end a longer
    * one.
    */
-  function note(endpointKey: string, pause: Millis): void {
+  function record(endpointKey: string, pause: Millis): void {
     const longest = Math.max(pause, readLeft(endpointKey));
     until.delete(endpointKey);
     putBounded(until, [endpointKey, clock.now() + longest], MAX_KNOWN);
   }
 
-  return { note, readLeft, isEmpty: () => until.size === 0 };
+  return { record, readLeft, isEmpty: () => until.size === 0 };
 }
--- a/packages/coordination/src/endpoint_roster.ts
+++ b/packages/coordination/src/endpoint_roster.ts
@@ -14,39 +14,39 @@
 import type { EndpointInfo } from "./endpoint.ts";
 import { isOlderIncarnation } from "./endpoint.ts";
 
-/** Options of {@linkcode createEndpointRoster}. */
-export interface EndpointRosterOptions {
+/** Options of {@linkcode createEndpointRegistry}. */
+export interface EndpointRegistryOptions {
   clock: Clock;
   /** How long after the recovery of the instance list removals are deferred. */
-  returnGrace: Millis;
+  recoveryGrace: Millis;
   /** Called after each change of the set of endpoints. */
   onChange: (endpoints: readonly EndpointInfo[]) => void;
 }
 
 /** The endpoints in the instance list. */
-export interface EndpointRoster {
+export interface EndpointRegistry {
   /** Applies a record of one endpoint; returns whether anything changed. */
   put(endpoint: EndpointInfo): boolean;
   remove(id: string): void;
   /** Applies a full reading of the list. */
   replaceAll(endpoints: readonly EndpointInfo[]): void;
   /** Records that the list cannot be read. */
-  noteAway(): void;
+  handleUnavailable(): void;
   /** Records that the list can be read again. */
-  noteBack(): void;
+  handleAvailable(): void;
   /**
    * Records that the list was restored from an older copy of itself, which is
    * read next. An endpoint that is unknown here may have left since the copy
    * was made; it counts once it registers again.
    */
-  noteRestored(): void;
+  handleRestored(): void;
   list(): EndpointInfo[];
 }
 
 /** Creates an empty registry. */
-export function createEndpointRoster(
-  { clock, returnGrace, onChange }: EndpointRosterOptions,
-): EndpointRoster {
+export function createEndpointRegistry(
+  { clock, recoveryGrace, onChange }: EndpointRegistryOptions,
+): EndpointRegistry {
   const endpoints = new Map<string, EndpointInfo>();
   /** Deferred removals: functions that cancel their timers, by endpoint id. */
   const deferred = new Map<string, () => void>();
@@ -77,11 +77,11 @@
   function remove(id: string): void {
     const known = endpoints.get(id);
     if (known === undefined || deferred.has(id)) return;
-    const graceLeft = recoveredAt + returnGrace - clock.now();
+    const graceLeft = recoveredAt + recoveryGrace - clock.now();
     const isUnverified = known.state === "live" &&
       (isUnavailable || graceLeft > 0);
     if (!isUnverified) return drop(id);
-    const wait = isUnavailable ? returnGrace : graceLeft;
+    const wait = isUnavailable ? recoveryGrace : graceLeft;
     deferred.set(id, clock.startTimer(wait, () => drop(id)));
   }
 
@@ -104,14 +104,14 @@
     put,
     remove,
     replaceAll,
-    noteAway() {
+    handleUnavailable() {
       isUnavailable = true;
     },
-    noteBack() {
+    handleAvailable() {
       if (isUnavailable) recoveredAt = clock.now();
       isUnavailable = false;
     },
-    noteRestored() {
+    handleRestored() {
       recoveredAt = clock.now();
       isRestored = true;
     },
--- a/packages/coordination/src/endpoint_roster_test.ts
+++ b/packages/coordination/src/endpoint_roster_test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { EndpointInfo, EndpointState } from "./endpoint.ts";
-import { createEndpointRoster } from "./endpoint_roster.ts";
+import { createEndpointRegistry } from "./endpoint_roster.ts";
 
 function createEndpoint(id: string, state: EndpointState = "live") {
   return { id, incarnation: "1", pool: "p", place: "a", address: id, state };
@@ -11,9 +11,9 @@
   function create() {
     const clock = createFakeClock(0);
     const changes: string[][] = [];
-    const registry = createEndpointRoster({
+    const registry = createEndpointRegistry({
       clock,
-      returnGrace: 1_800,
+      recoveryGrace: 1_800,
       onChange: (endpoints: readonly EndpointInfo[]) =>
         changes.push(endpoints.map(({ id, state }) => `${id}:${state}`)),
     });
@@ -69,8 +69,8 @@
   it("does not treat an older reading as a sign of life", async () => {
     const { registry, clock, listIds } = create();
     registry.put({ ...createEndpoint("e1"), incarnation: "2", startedAt: 2 });
-    registry.noteAway();
-    registry.noteBack();
+    registry.handleUnavailable();
+    registry.handleAvailable();
     registry.remove("e1");
     registry.put({ ...createEndpoint("e1"), startedAt: 1 });
     await clock.advance(2_000);
@@ -82,9 +82,9 @@
   // which takes up to two seconds.
   it("keeps endpoints that expired in an outage until they had time to register", async () => {
     const { registry, listIds, clock } = create();
-    registry.noteAway();
+    registry.handleUnavailable();
     await clock.advance(5_000);
-    registry.noteBack();
+    registry.handleAvailable();
     registry.remove("e1");
     registry.remove("e2");
     expect(listIds()).to.deep.equal(["e1", "e2"]);
@@ -99,8 +99,8 @@
   it("does not keep an endpoint that was leaving", () => {
     const { registry, listIds } = create();
     registry.put(createEndpoint("e1", "leaving"));
-    registry.noteAway();
-    registry.noteBack();
+    registry.handleUnavailable();
+    registry.handleAvailable();
     registry.remove("e1");
     expect(listIds()).to.deep.equal(["e2"]);
   });
@@ -124,7 +124,7 @@
     it("waits for the registration of an endpoint that it had dropped", () => {
       const { registry, listIds } = create();
       registry.remove("e1");
-      registry.noteRestored();
+      registry.handleRestored();
       registry.replaceAll([createEndpoint("e1"), createEndpoint("e2")]);
       expect(listIds()).to.deep.equal(["e2"]);
       registry.put(createEndpoint("e1"));
@@ -135,7 +135,7 @@
     // again soon.
     it("keeps an endpoint that the copy lacks for a while", async () => {
       const { clock, registry, listIds } = create();
-      registry.noteRestored();
+      registry.handleRestored();
       registry.replaceAll([createEndpoint("e1")]);
       expect(listIds()).to.have.members(["e1", "e2"]);
       await clock.advance(1_900);
@@ -145,7 +145,7 @@
     it("does not make a leaving endpoint live again", () => {
       const { registry } = create();
       registry.put(started("e3", "leaving"));
-      registry.noteRestored();
+      registry.handleRestored();
       registry.replaceAll(["e1", "e2", "e3"].map((id) => started(id)));
       const states = registry.list().map(({ id, state }) => `${id} ${state}`);
       expect(states).to.include("e3 leaving");
@@ -158,7 +158,7 @@
     it("applies the whole copy if no endpoint was known", () => {
       const { registry, listIds } = create();
       ["e1", "e2"].forEach((id) => registry.remove(id));
-      registry.noteRestored();
+      registry.handleRestored();
       registry.replaceAll([createEndpoint("e1")]);
       expect(listIds()).to.deep.equal(["e1"]);
     });
--- a/packages/coordination/src/engine_choice.ts
+++ b/packages/coordination/src/engine_choice.ts
@@ -37,13 +37,13 @@
    */
   readonly load: number;
   /** Latency relative to what is expected; 1 is normal. */
-  readonly slowness: number;
+  readonly slowdown: number;
 }
 
 /** Selects engines in one pool. */
-export interface EngineChoice {
+export interface EngineSelector {
   /** Ranks the engines for a request, best first. */
-  list<E extends EngineView>(
+  rank<E extends EngineView>(
     parts: readonly PromptPart[],
     engines: readonly E[],
     spec: EngineSpec,
@@ -85,11 +85,11 @@
 const LARGE_KEY = "very large prompts";
 
 /** Creates a selector for a pool that has seen no request. */
-export function createEngineChoice(clock: Clock): EngineChoice {
+export function createEngineSelector(clock: Clock): EngineSelector {
   let lastLargeAt = -Infinity;
 
   return {
-    list(parts, engines, spec) {
+    rank(parts, engines, spec) {
       const isLarge = isVeryLarge(parts, spec);
       if (isLarge) lastLargeAt = clock.now();
       const hasLarge = clock.now() - lastLargeAt <= LARGE_GROUP_TTL;
@@ -146,9 +146,9 @@
     LOAD_BOUND * mean + LOAD_SLACK,
     LIGHT_LOAD_SHARE * slots,
   );
-  const fastest = Math.min(...engines.map(({ slowness }) => slowness));
-  return ({ load, slowness }) =>
-    load <= bound && slowness <= SLOW_FACTOR * fastest;
+  const fastest = Math.min(...engines.map(({ slowdown }) => slowdown));
+  return ({ load, slowdown }) =>
+    load <= bound && slowdown <= SLOW_FACTOR * fastest;
 }
 
 /** Returns the longest shared part; the last part is the request's own. */
--- a/packages/coordination/src/engine_choice_replay_test.ts
+++ b/packages/coordination/src/engine_choice_replay_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { MersenneTwister19937, Random } from "random-js";
 import type { EngineView } from "./engine_choice.ts";
-import { createEngineChoice } from "./engine_choice.ts";
+import { createEngineSelector } from "./engine_choice.ts";
 
 /** One kind of request; sizes have a log-normal distribution. */
 interface Load {
@@ -82,7 +82,7 @@
   },
 ): Promise<number> {
   const clock = createFakeClock(0);
-  const selector = createEngineChoice(clock);
+  const selector = createEngineSelector(clock);
   const freeAt = new Array<number>(ENGINES).fill(0);
   const spec = { slots: 48, tokenCapacity: 48 * slotShare };
   const engines: EngineView[] = freeAt.map((_, index) => ({
@@ -95,14 +95,14 @@
       state: "live",
     },
     load: 3,
-    slowness: 1,
+    slowdown: 1,
   }));
   let answers = 0;
   let onTime = 0;
   for (const { at, load, session, tokens } of generateArrivals(seed, burst)) {
     await clock.advance(at - clock.now());
     const parts = [{ id: session, tokens: 500 }, { id: "own", tokens }];
-    const [home] = selector.list(parts, engines, spec);
+    const [home] = selector.rank(parts, engines, spec);
     const index = engines.findIndex(({ info }) => info === home?.info);
     const processingTime = tokens / TOKENS_PER_MS +
       MS_PER_SQUARED_TOKEN * tokens ** 2;
--- a/packages/coordination/src/engine_choice_test.ts
+++ b/packages/coordination/src/engine_choice_test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { EngineView } from "./engine_choice.ts";
-import { createEngineChoice } from "./engine_choice.ts";
+import { createEngineSelector } from "./engine_choice.ts";
 import { listByRendezvous } from "./rendezvous.ts";
 
 function createEngine(
@@ -16,7 +16,7 @@
     address: id,
     state: "live",
   } as const;
-  return { info, load: 0, slowness: 1, ...change };
+  return { info, load: 0, slowdown: 1, ...change };
 }
 
 const IDS = ["e1", "e2", "e3", "e4", "e5"];
@@ -33,8 +33,8 @@
 
 describe("engine selection", () => {
   const listIds = (session: string, engines: EngineView[]) =>
-    createEngineChoice(createFakeClock())
-      .list(createParts(session), engines, SPEC).map(({ info }) => info.id);
+    createEngineSelector(createFakeClock())
+      .rank(createParts(session), engines, SPEC).map(({ info }) => info.id);
 
   it("gives a session the same home at every entry", () => {
     const engines = IDS.map((id) => createEngine(id));
@@ -78,7 +78,7 @@
   it("ranks a slow engine behind the others", () => {
     const [home = ""] = listIds("s1", IDS.map((id) => createEngine(id)));
     const engines = IDS.map((id) =>
-      createEngine(id, { slowness: id === home ? 5 : 1 })
+      createEngine(id, { slowdown: id === home ? 5 : 1 })
     );
     expect(listIds("s1", engines).at(-1)).to.equal(home);
   });
@@ -104,21 +104,21 @@
 
     function createPool() {
       const clock = createFakeClock();
-      const selector = createEngineChoice(clock);
+      const selector = createEngineSelector(clock);
       const listHomes = (
         sessions: number,
         ids: readonly string[],
       ) =>
         new Set(
           Array.from({ length: sessions }, (_, index) =>
-            selector.list(
+            selector.rank(
               createParts(`s${index}`),
               ids.map((id) => createEngine(id)),
               SPEC,
             )[0]?.info.id),
         );
       const listLarge = () =>
-        selector.list(LARGE, TEN.map((id) => createEngine(id)), SPEC)
+        selector.rank(LARGE, TEN.map((id) => createEngine(id)), SPEC)
           .map(({ info }) => info.id);
       return { clock, selector, listHomes, listLarge };
     }
@@ -149,9 +149,9 @@
       const { selector, listLarge } = createPool();
       const group = listLarge().slice(0, 3);
       const engines = TEN.map((id) =>
-        createEngine(id, { slowness: group.includes(id) ? 9 : 1 })
+        createEngine(id, { slowdown: group.includes(id) ? 9 : 1 })
       );
-      const [first] = selector.list(LARGE, engines, SPEC);
+      const [first] = selector.rank(LARGE, engines, SPEC);
       expect(group).not.to.include(first?.info.id);
     });
 
--- a/packages/coordination/src/entry_allowance.ts
+++ b/packages/coordination/src/entry_allowance.ts
@@ -13,7 +13,7 @@
 import type { EndpointPauses } from "./endpoint_pauses.ts";
 import { createEndpointPauses } from "./endpoint_pauses.ts";
 import {
-  computeFeederShare,
+  computeDispatcherShare,
   computeRequestShare,
   createLimitAllowance,
 } from "./limit_allowance.ts";
@@ -41,7 +41,7 @@
   listMembers: () => readonly PeerRecord[] | undefined;
   directory: Pick<EndpointDirectory, "listUsable">;
   /** Whether the calls of a pool are sent by dispatchers. */
-  isFed: (pool: string) => boolean;
+  isDispatched: (pool: string) => boolean;
   /** The allowance for cold endpoints; omitted if endpoints are never cold. */
   cold?: ColdAllowance;
 }
@@ -54,7 +54,7 @@
 }
 
 /** Limits nothing. */
-const NEVER_COLD: ColdAllowance = { mayBegin: () => true, begin: () => {} };
+const NEVER_COLD: ColdAllowance = { maySend: () => true, recordSend: () => {} };
 
 /**
  * Lists the entries that send to endpoints. Entries that are lost behind a
@@ -75,7 +75,7 @@
 export function createEntryAllowance(
   options: EntryAllowanceOptions,
 ): EntryAllowance {
-  const { clock, random, entry, directory, isFed } = options;
+  const { clock, random, entry, directory, isDispatched } = options;
   const limits = createEndpointLimits({ clock, random });
   const pauses = createEndpointPauses(clock);
 
@@ -87,7 +87,7 @@
     const members = options.listMembers();
     if (members === undefined) return undefined;
     const { pool, place } = endpoint;
-    if (!isFed(pool)) {
+    if (!isDispatched(pool)) {
       return listSendersFor(members.map((member) => member.entry), endpoint);
     }
     const partitions = listPartitions(directory.listUsable(pool));
@@ -101,7 +101,7 @@
     limits,
     findRank: createSenderRank({ clock, entry, listSenders }),
     chooseShares: ({ pool }) =>
-      isFed(pool) ? computeFeederShare : computeRequestShare,
+      isDispatched(pool) ? computeDispatcherShare : computeRequestShare,
   });
   const { cold = NEVER_COLD } = options;
   const allowance = createSendAllowance({ cold, limits, limited, pauses });
--- a/packages/coordination/src/knowledge_age.ts
+++ b/packages/coordination/src/knowledge_age.ts
@@ -11,8 +11,8 @@
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Options of {@linkcode createKnowledgeAge}. */
-export interface KnowledgeAgeOptions {
+/** Options of {@linkcode createDataAge}. */
+export interface DataAgeOptions {
   clock: Clock;
   /**
    * Returns the wall clock time, which advances while a process is suspended.
@@ -21,35 +21,35 @@
 }
 
 /** A point in time on both clocks. */
-export interface KnowledgeTime {
+export interface DataTimestamp {
   monotonic: Millis;
   wall: Millis;
 }
 
 /** The age of the data from one source. */
-export interface KnowledgeAge {
+export interface DataAge {
   /**
    * Returns the current time on both clocks; to be called before the source is
    * queried.
    */
-  readTime(): KnowledgeTime;
+  readTime(): DataTimestamp;
   /** Records that the source confirmed the data as of `askedAt`. */
-  noteConfirmed(queriedAt: KnowledgeTime): void;
+  recordConfirmed(queriedAt: DataTimestamp): void;
   /** Returns the age of the data; infinity before the first confirmation. */
   read(): Millis;
 }
 
 /** Creates the age of data that was never confirmed. */
-export function createKnowledgeAge(
-  { clock, readWallTime }: KnowledgeAgeOptions,
-): KnowledgeAge {
-  let confirmed: KnowledgeTime | undefined;
+export function createDataAge(
+  { clock, readWallTime }: DataAgeOptions,
+): DataAge {
+  let confirmed: DataTimestamp | undefined;
 
-  function readTime(): KnowledgeTime {
+  function readTime(): DataTimestamp {
     return { monotonic: clock.now(), wall: readWallTime() };
   }
 
-  function noteConfirmed(queriedAt: KnowledgeTime): void {
+  function recordConfirmed(queriedAt: DataTimestamp): void {
     const isNewer = confirmed === undefined ||
       queriedAt.monotonic >= confirmed.monotonic;
     if (isNewer) confirmed = queriedAt;
@@ -64,5 +64,5 @@
     );
   }
 
-  return { readTime, noteConfirmed, read };
+  return { readTime, recordConfirmed, read };
 }
--- a/packages/coordination/src/knowledge_age_test.ts
+++ b/packages/coordination/src/knowledge_age_test.ts
@@ -1,12 +1,12 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createKnowledgeAge } from "./knowledge_age.ts";
+import { createDataAge } from "./knowledge_age.ts";
 
 describe("data age", () => {
   function create() {
     const clock = createFakeClock(0);
     let wallOffset = 0;
-    const age = createKnowledgeAge({
+    const age = createDataAge({
       clock,
       readWallTime: () => clock.now() + wallOffset,
     });
@@ -24,7 +24,7 @@
     const { clock, age } = create();
     const queriedAt = age.readTime();
     await clock.advance(1_000);
-    age.noteConfirmed(queriedAt);
+    age.recordConfirmed(queriedAt);
     expect(age.read()).to.equal(1_000);
   });
 
@@ -32,7 +32,7 @@
   // did not count the pause, so by that clock the keys are fresh.
   it("counts a pause that only the wall clock measured", () => {
     const { age, moveWall } = create();
-    age.noteConfirmed(age.readTime());
+    age.recordConfirmed(age.readTime());
     moveWall(30_000);
     expect(age.read()).to.equal(30_000);
   });
@@ -40,7 +40,7 @@
   // The wall clock is set back: by that clock the data is fresher than it is.
   it("is not reduced by a wall clock that is set back", async () => {
     const { clock, age, moveWall } = create();
-    age.noteConfirmed(age.readTime());
+    age.recordConfirmed(age.readTime());
     await clock.advance(4_000);
     moveWall(-60_000);
     expect(age.read()).to.equal(4_000);
@@ -50,8 +50,8 @@
     const { clock, age } = create();
     const first = age.readTime();
     await clock.advance(500);
-    age.noteConfirmed(age.readTime());
-    age.noteConfirmed(first);
+    age.recordConfirmed(age.readTime());
+    age.recordConfirmed(first);
     expect(age.read()).to.equal(0);
   });
 });
--- a/packages/coordination/src/learning_time.ts
+++ b/packages/coordination/src/learning_time.ts
@@ -13,7 +13,7 @@
  * Creates a check of whether this entry, which starts now, is still discovering
  * others.
  */
-export function createLearningCheck(clock: Clock): () => boolean {
+export function createDiscoveryCheck(clock: Clock): () => boolean {
   const startedAt = clock.now();
   return () => clock.now() - startedAt < DISCOVERY_PERIOD;
 }
--- a/packages/coordination/src/limit_allowance.ts
+++ b/packages/coordination/src/limit_allowance.ts
@@ -38,7 +38,7 @@
    */
   readWait(endpoint: EndpointInfo): Millis;
   /** Counts a request sent to the endpoint. */
-  begin(endpoint: EndpointInfo): void;
+  recordSend(endpoint: EndpointInfo): void;
 }
 
 /**
@@ -78,7 +78,7 @@
  * One dispatcher sends all calls of a partition; the next entries send only in
  * its place.
  */
-export const computeFeederShare: ComputeLimitShare = (rank) =>
+export const computeDispatcherShare: ComputeLimitShare = (rank) =>
   DISPATCHER_SHARES[rank] ?? 0;
 
 /** Creates the allowance of an entry that has sent nothing. */
@@ -110,7 +110,7 @@
 
   return {
     readWait,
-    begin(endpoint) {
+    recordSend(endpoint) {
       const rate = findRate(endpoint);
       if (rate !== undefined) buckets.take(formatEndpointKey(endpoint), rate);
     },
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
-import { drawSome } from "./draw.ts";
+import { sampleItems } from "./draw.ts";
 import { listStrong } from "./high_capacity_members.ts";
 
 /** The state that an entry publishes about itself. */
@@ -198,7 +198,7 @@
       if (now - suspected.at > SUSPICION_TTL) return [];
       return [{ incarnation, heartbeat: suspected.heartbeat }];
     });
-    return drawSome(recent, { count: limit, random });
+    return sampleItems(recent, { count: limit, random });
   }
 
   /**
@@ -247,11 +247,18 @@
     const isMixed = highCapacity.length < known.length;
     const always = new Set(
       isMixed
-        ? drawSome(highCapacity, { count: MAX_HIGH_CAPACITY_RECORDS, random })
+        ? sampleItems(highCapacity, {
+          count: MAX_HIGH_CAPACITY_RECORDS,
+          random,
+        })
         : [],
     );
     const others = known.filter((record) => !always.has(record));
-    return [own, ...always, ...drawSome(others, { count: limit - 1, random })];
+    return [
+      own,
+      ...always,
+      ...sampleItems(others, { count: limit - 1, random }),
+    ];
   }
 
   function choosePeer(): PeerRecord | undefined {
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -73,10 +73,10 @@
 export { createMembership } from "./membership.ts";
 export type {
   AddressCandidate,
-  AddressChoice,
-  AddressChoiceOptions,
+  AddressSelection,
+  AddressSelectionOptions,
 } from "./address_choice.ts";
-export { chooseAddresses, drawEntries } from "./address_choice.ts";
+export { chooseAddresses, sampleEntries } from "./address_choice.ts";
 export type {
   EndpointInfo,
   EndpointSignals,
@@ -87,7 +87,7 @@
 export type {
   EndpointDirectory,
   EndpointDirectoryOptions,
-  LeavingGround,
+  LeavingEvidence,
   LeavingMark,
   LeavingSource,
 } from "./endpoint_directory.ts";
@@ -106,7 +106,7 @@
 export type {
   EndpointLimits,
   EndpointLimitsOptions,
-  LimitNews,
+  LimitUpdate,
 } from "./endpoint_limits.ts";
 export type { EndpointPauses } from "./endpoint_pauses.ts";
 export { createEndpointPauses } from "./endpoint_pauses.ts";
@@ -117,7 +117,7 @@
   LimitAllowanceOptions,
 } from "./limit_allowance.ts";
 export {
-  computeFeederShare,
+  computeDispatcherShare,
   computeRequestShare,
   createLimitAllowance,
 } from "./limit_allowance.ts";
@@ -126,7 +126,7 @@
   EntryAllowanceOptions,
 } from "./entry_allowance.ts";
 export { createEntryAllowance, listSendingMembers } from "./entry_allowance.ts";
-export { createLearningCheck } from "./learning_time.ts";
+export { createDiscoveryCheck } from "./learning_time.ts";
 export type { FindSenderRank, SenderRankOptions } from "./sender_rank.ts";
 export { createSenderRank, listSendersFor } from "./sender_rank.ts";
 export type { SendAllowance, SendAllowanceOptions } from "./send_allowance.ts";
@@ -219,19 +219,19 @@
 export type { RouteTable } from "./route_table.ts";
 export { createRouteTable } from "./route_table.ts";
 export type {
-  KnowledgeAge,
-  KnowledgeAgeOptions,
-  KnowledgeTime,
+  DataAge,
+  DataAgeOptions,
+  DataTimestamp,
 } from "./knowledge_age.ts";
-export { createKnowledgeAge } from "./knowledge_age.ts";
+export { createDataAge } from "./knowledge_age.ts";
 export type {
-  EndpointRoster,
-  EndpointRosterOptions,
+  EndpointRegistry,
+  EndpointRegistryOptions,
 } from "./endpoint_roster.ts";
-export { createEndpointRoster } from "./endpoint_roster.ts";
+export { createEndpointRegistry } from "./endpoint_roster.ts";
 export { listStrong } from "./high_capacity_members.ts";
 export { computeHash, listByRendezvous, listNearFirst } from "./rendezvous.ts";
-export { drawSome } from "./draw.ts";
+export { sampleItems } from "./draw.ts";
 export type {
   BatchEndpoint,
   PieceBatcher,
@@ -240,8 +240,8 @@
   WaitingPiece,
 } from "./piece_batcher.ts";
 export { createPieceBatcher } from "./piece_batcher.ts";
-export type { CallerElapsed } from "./caller_elapsed.ts";
-export { createCallerElapsed } from "./caller_elapsed.ts";
+export type { ElapsedEstimator } from "./caller_elapsed.ts";
+export { createElapsedEstimator } from "./caller_elapsed.ts";
 export type { PieceRates, PieceWaits, WaitForecast } from "./piece_rates.ts";
 export {
   chooseOverflow,
@@ -253,7 +253,11 @@
   UNPARTITIONED,
 } from "./pool_partition.ts";
 export { createPieceFlow } from "./piece_rates.ts";
-export type { EngineChoice, EngineView, PromptPart } from "./engine_choice.ts";
-export { createEngineChoice } from "./engine_choice.ts";
+export type {
+  EngineSelector,
+  EngineView,
+  PromptPart,
+} from "./engine_choice.ts";
+export { createEngineSelector } from "./engine_choice.ts";
 export type { PlannedStage } from "./stage_plan.ts";
 export { computeStageTime, planStages } from "./stage_plan.ts";
--- a/packages/coordination/src/pool_partition.ts
+++ b/packages/coordination/src/pool_partition.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
-import { drawSome } from "./draw.ts";
+import { sampleItems } from "./draw.ts";
 import type { EndpointInfo } from "./endpoint.ts";
 import type { PeerRecord } from "./membership.ts";
 import { listByRendezvous, listNearFirst } from "./rendezvous.ts";
@@ -91,7 +91,7 @@
 ): string {
   const limit = (readWait(home) ?? 0) - OVERFLOW_WAIT;
   if (limit <= 0) return home;
-  const compared = drawSome(others, { count: OVERFLOW_CHOICES, random })
+  const compared = sampleItems(others, { count: OVERFLOW_CHOICES, random })
     .map((partition) => ({ partition, wait: readWait(partition) ?? Infinity }))
     .filter(({ wait }) => wait < limit)
     .sort((a, b) => a.wait - b.wait);
--- a/packages/coordination/src/send_allowance.ts
+++ b/packages/coordination/src/send_allowance.ts
@@ -36,7 +36,7 @@
 /** Options of {@linkcode createSendAllowance}. */
 export interface SendAllowanceOptions {
   cold: ColdAllowance;
-  limits: Pick<EndpointLimits, "find" | "isOld" | "isEmpty">;
+  limits: Pick<EndpointLimits, "find" | "isStale" | "isEmpty">;
   limited: LimitAllowance;
   pauses: Pick<EndpointPauses, "readLeft" | "isEmpty">;
 }
@@ -54,10 +54,10 @@
   }
 
   return {
-    mayBegin: (endpoint) => readWait(endpoint) === 0 && cold.mayBegin(endpoint),
+    mayBegin: (endpoint) => readWait(endpoint) === 0 && cold.maySend(endpoint),
     begin(endpoint) {
-      cold.begin(endpoint);
-      limited.begin(endpoint);
+      cold.recordSend(endpoint);
+      limited.recordSend(endpoint);
     },
     readWait,
     readShortestWait: (endpoints) =>
@@ -66,6 +66,6 @@
       readPause(endpoint) > 0 || !limits.isEmpty() &&
         limits.find(formatEndpointKey(endpoint)) !== undefined,
     isAskDue: (endpoint) =>
-      !limits.isEmpty() && limits.isOld(formatEndpointKey(endpoint)),
+      !limits.isEmpty() && limits.isStale(formatEndpointKey(endpoint)),
   };
 }
--- a/packages/coordination/src/stage_pool.ts
+++ b/packages/coordination/src/stage_pool.ts
@@ -217,7 +217,7 @@
       }),
       health,
       get slowness() {
-        return health.slowness;
+        return health.slowdown;
       },
     };
   }
--- a/packages/coordination/src/stage_pool_limit_test.ts
+++ b/packages/coordination/src/stage_pool_limit_test.ts
@@ -70,7 +70,7 @@
     entry,
     listMembers: () => entries.map((name) => ({ entry: name }) as PeerRecord),
     directory: { listUsable: () => [...endpoints] },
-    isFed: () => false,
+    isDispatched: () => false,
   });
   const pool = createStagePool({
     clock,
@@ -83,7 +83,7 @@
     onEjected: () => {},
     allowance,
     onPause: (endpoint, pause) =>
-      pauses.note(formatEndpointKey(endpoint), pause),
+      pauses.record(formatEndpointKey(endpoint), pause),
   });
   pool.refresh(endpoints);
   return { pool, limits, pauses };
@@ -143,7 +143,7 @@
       void call(pool, (info) => {
         const isLimited = info.id.startsWith("limited");
         const limit = isLimited ? LIMIT : undefined;
-        limits.note(formatEndpointKey(info), limit, clock.now() - WORK_TIME);
+        limits.record(formatEndpointKey(info), limit, clock.now() - WORK_TIME);
       });
     }
     await clock.advance(STEP);
@@ -205,8 +205,8 @@
     const clock = createFakeClock(0);
     const endpoints = [createEndpoint("first"), createEndpoint("second")];
     const { pool, pauses } = createOnlyPool(clock, endpoints);
-    pauses.note(formatEndpointKey(endpoints[0]!), 5_000);
-    pauses.note(formatEndpointKey(endpoints[1]!), 3_000);
+    pauses.record(formatEndpointKey(endpoints[0]!), 5_000);
+    pauses.record(formatEndpointKey(endpoints[1]!), 3_000);
     const permit = await pool.acquire(createWork(clock));
     expect(permit.isErr && permit.error.verdict).to.equal("not_run");
     expect(permit.isErr && permit.error.retryAfterMs).to.equal(3_000);
--- a/packages/entry/src/config_follower.ts
+++ b/packages/entry/src/config_follower.ts
@@ -78,7 +78,7 @@
     const wasReachable = isLogReachable;
     isLogReachable = event.kind !== "away";
     metrics.setLogReachable(isLogReachable);
-    if (event.kind === "trimmed") fold.startAt(event.first);
+    if (event.kind === "trimmed") fold.startFrom(event.first);
     if (event.kind === "record") takeRecord(event.record);
     if (wasReachable !== isLogReachable) {
       logger.info(isLogReachable ? "The log is back." : "The log is away.");
@@ -86,7 +86,7 @@
   }
 
   function adopt(config: ActiveConfig): void {
-    noteOutcome(fold.adopt(config), config.author);
+    noteOutcome(fold.applyPeerConfig(config), config.author);
   }
 
   const tail = startLogTail({
--- a/packages/entry/src/endpoint_watch.ts
+++ b/packages/entry/src/endpoint_watch.ts
@@ -7,7 +7,7 @@
 import type {
   EndpointDirectory,
   EndpointInfo,
-  LeavingGround,
+  LeavingEvidence,
   PrefixAffinity,
 } from "@mangoreach/coordination";
 import { formatEndpointKey } from "@mangoreach/coordination";
@@ -38,7 +38,7 @@
 /** A running watch. */
 export interface EndpointWatch {
   /** Marks an endpoint that said itself, or to a peer, that it is leaving. */
-  markLeaving(endpointKey: string, ground: LeavingGround): void;
+  markLeaving(endpointKey: string, ground: LeavingEvidence): void;
   /** Whether an engine holds a model, or nothing is known of it yet. */
   holdsModel(endpoint: EndpointInfo, model: string): boolean;
   readonly tasks: Promise<void>[];
@@ -76,7 +76,7 @@
     pools.refresh();
   }
 
-  function markLeaving(endpointKey: string, ground: LeavingGround): void {
+  function markLeaving(endpointKey: string, ground: LeavingEvidence): void {
     if (!directory.markLeaving(endpointKey, ground)) return;
     timeline.record("endpoint_leaving", { endpoint: endpointKey });
     pools.refresh();
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -9,10 +9,10 @@
   createAdmission,
   createAttainmentTracker,
   createDemandTracker,
+  createDiscoveryCheck,
   createEndpointDirectory,
   createEntryAllowance,
   createFailure,
-  createLearningCheck,
   createMembership,
   createOutcomeTable,
   createPrefixAffinity,
@@ -99,9 +99,9 @@
 
   const directory = createEndpointDirectory({
     clock,
-    markLifetime: settings.timing.leavingMarkMs,
+    markTtl: settings.timing.leavingMarkMs,
   });
-  const isLearning = createLearningCheck(clock);
+  const isLearning = createDiscoveryCheck(clock);
   const { allowance, limits, pauses } = createEntryAllowance({
     clock,
     random,
@@ -109,7 +109,7 @@
     listMembers: () =>
       isLearning() ? undefined : listSendingMembers(membership),
     directory,
-    isFed: () => false,
+    isDispatched: () => false,
   });
   const attainment = createAttainmentTracker(clock);
   const pools = createPoolSet(context, {
@@ -118,7 +118,7 @@
     holdsModel: (endpoint, model) => watch.holdsModel(endpoint, model),
     allowance,
     onPause: (endpoint, pause) =>
-      pauses.note(formatEndpointKey(endpoint), pause),
+      pauses.record(formatEndpointKey(endpoint), pause),
   });
   const demand = createDemandTracker(clock);
   const affinity = createPrefixAffinity({ clock, capacity: AFFINITY_CAPACITY });
@@ -126,7 +126,7 @@
     onAnswer: ({ endpoint, headers, sentAt }: AnsweredCall) => {
       const key = formatEndpointKey(endpoint);
       if (hasLeavingMark(headers)) watch.markLeaving(key, { isSaid: true });
-      limits.note(key, readRateLimit(headers), sentAt);
+      limits.record(key, readRateLimit(headers), sentAt);
     },
     onDropped: ({ requestId, stage }: { requestId: string; stage: string }) => {
       metrics.countDropped();
@@ -259,7 +259,7 @@
     limits,
     countInFlight: () => requestTasks.size,
     readStrained: () => admission?.strainedPriority ?? 0,
-    onStrain: (priority) => admission?.relieve(priority),
+    onStrain: (priority) => admission?.shedBelow(priority),
   });
   listenControl = createControlListener(context, {
     credentials,
--- a/packages/entry/src/peer_exchange.ts
+++ b/packages/entry/src/peer_exchange.ts
@@ -29,7 +29,7 @@
   peers: PeerClient;
   config: Pick<ConfigFollower, "active" | "adopt">;
   markLeaving: (mark: LeavingMark) => void;
-  limits: Pick<EndpointLimits, "chooseNews" | "takeNews">;
+  limits: Pick<EndpointLimits, "chooseUpdates" | "applyUpdate">;
   /** Requests in progress here. */
   countInFlight: () => number;
   /** The highest priority that missed deadlines here lately, 0 for none. */
@@ -107,8 +107,8 @@
     listSeeds: () => seeds,
     exchange: (address, message) => peers.exchange(address, message),
     markLeaving: options.markLeaving,
-    chooseLimitNews: options.limits.chooseNews,
-    noteLimitNews: options.limits.takeNews,
+    chooseLimitNews: options.limits.chooseUpdates,
+    noteLimitNews: options.limits.applyUpdate,
     onIntroduced: ({ entry }) =>
       timeline.record("peer_seen", { detail: entry }),
     onHeartbeat: ({ strainedPriority }) => options.onStrain(strainedPriority),
--- a/packages/operators/src/config_stream.ts
+++ b/packages/operators/src/config_stream.ts
@@ -147,7 +147,7 @@
   for (let next = 0;;) {
     const page = await log.read("config", { from: next, waitMs: 0, signal });
     if (page.isErr) return Result.err(page.error);
-    if (page.value.first > next) fold.startAt(page.value.first);
+    if (page.value.first > next) fold.startFrom(page.value.first);
     for (const record of page.value.records) {
       applyRecord(record, { fold, outcomes });
     }
--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -8,11 +8,11 @@
   EndpointDirectory,
   Failure,
   LeavingMark,
-  LimitNews,
+  LimitUpdate,
   Membership,
   PeerRecord,
 } from "@mangoreach/coordination";
-import { drawSome } from "@mangoreach/coordination";
+import { sampleItems } from "@mangoreach/coordination";
 import type { Clock, Listening, Millis } from "@mangoreach/shared";
 import type { Result } from "true-myth";
 import type { PeerExchange } from "./peer_protocol.ts";
@@ -26,7 +26,7 @@
   random: () => number;
   signal: AbortSignal;
   membership: Membership;
-  directory: Pick<EndpointDirectory, "chooseMarks">;
+  directory: Pick<EndpointDirectory, "chooseLeavingMarks">;
   /** Time between two exchanges, spread at random by a quarter. */
   interval: Millis;
   /** Raises the own heartbeat with what is news here. */
@@ -39,8 +39,8 @@
   ) => Promise<Result<PeerExchange, Failure>>;
   markLeaving: (mark: LeavingMark) => void;
   /** What to tell of limits that endpoints name, at most `count`. */
-  chooseLimitNews?: (count: number) => readonly LimitNews[];
-  noteLimitNews?: (news: LimitNews) => void;
+  chooseLimitNews?: (count: number) => readonly LimitUpdate[];
+  noteLimitNews?: (news: LimitUpdate) => void;
   /** What to tell of contents that are turned away; undefined if nothing. */
   readPoisonNews?: () => PoisonNews | undefined;
   notePoisonNews?: (news: PoisonNews) => void;
@@ -108,7 +108,7 @@
     const message: PeerExchange = {
       heartbeats: records.map(encodeHeartbeat),
       introductions: [...introductions],
-      leaving: options.directory.chooseMarks(MAX_MARKS),
+      leaving: options.directory.chooseLeavingMarks(MAX_MARKS),
       known: membership.list().length,
       ...(limits.length === 0 ? {} : { limits: [...limits] }),
       ...(unreached.length === 0 ? {} : { unreached }),
@@ -136,7 +136,7 @@
     const lacked = Math.max(0, others.length - known);
     const lacking = new Set([
       membership.self,
-      ...drawSome(recent, { count: recent.length, random }),
+      ...sampleItems(recent, { count: recent.length, random }),
       ...(lacked > 0 ? records : []),
     ]);
     return [...lacking]
@@ -247,7 +247,7 @@
     const alive = membership.list()
       .filter(({ health }) => health === "alive");
     await Promise.all(
-      drawSome(alive, { count, random }).map(({ record }) =>
+      sampleItems(alive, { count, random }).map(({ record }) =>
         exchangeWith(record.controlAddress)
       ),
     );
--- a/packages/peers/src/exchange_loop_test.ts
+++ b/packages/peers/src/exchange_loop_test.ts
@@ -66,7 +66,7 @@
       random,
       signal: controller.signal,
       membership,
-      directory: { chooseMarks: () => [] },
+      directory: { chooseLeavingMarks: () => [] },
       interval: 500,
       beat: () => membership.beat({}),
       listSeeds: () => records.slice(0, 3).map((one) => one.controlAddress),
--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -108,7 +108,7 @@
   const ranked = engine === undefined
     ? sortByCost(inUse, membership.self.place)
     : findEngineChoice(admitted.pool)
-      .list(request.head.promptParts, inUse, engine);
+      .rank(request.head.promptParts, inUse, engine);
   const isProbeDue = ({ info }: EndpointLoad) =>
     sendAllowance.isAskDue(info) && sendAllowance.mayBegin(info);
   const chosen = ranked.find(isProbeDue) ??
@@ -137,7 +137,7 @@
   endpoints: readonly EndpointLoad[],
   ownPlace: string,
 ): EndpointLoad[] {
-  const estimateCost = ({ info, load, slowness }: EndpointLoad) =>
+  const estimateCost = ({ info, load, slowdown: slowness }: EndpointLoad) =>
     (1 + load) * slowness + (info.place === ownPlace ? 0 : OTHER_PLACE_COST);
   return [...endpoints].sort((a, b) => estimateCost(a) - estimateCost(b));
 }
--- a/packages/serving/src/attempt_loop_test.ts
+++ b/packages/serving/src/attempt_loop_test.ts
@@ -28,7 +28,7 @@
 ) {
   const clock = createFakeClock(0);
   const called: EndpointInfo[] = [];
-  const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
+  const directory = createEndpointDirectory({ clock, markTtl: 1_000 });
   directory.replaceAll(["e1", "e2", "e3"].map((id) => createTestEndpoint(id)));
   const testRoute = createTestRoute(route);
   const table = createTestTable([testRoute]);
--- a/packages/serving/src/endpoint_signals.ts
+++ b/packages/serving/src/endpoint_signals.ts
@@ -45,9 +45,9 @@
 export interface SignalHandlerOptions {
   log: DecisionLog;
   metrics: Pick<ServingMetrics, "countSignal">;
-  limits: Pick<EndpointLimits, "note" | "find">;
+  limits: Pick<EndpointLimits, "record" | "find">;
   directory: Pick<EndpointDirectory, "markLeaving">;
-  pauses: Pick<EndpointPauses, "note">;
+  pauses: Pick<EndpointPauses, "record">;
   /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
 }
@@ -67,7 +67,7 @@
     const key = formatEndpointKey(endpoint);
     if (rateLimit !== undefined) metrics.countSignal(endpoint.pool, "limit");
     const before = limits.find(key);
-    limits.note(key, rateLimit, sentAt);
+    limits.record(key, rateLimit, sentAt);
     const limit = limits.find(key);
     if (before === limit) return;
     const outcome = limit === undefined ? "not_limited" : "limited";
@@ -86,7 +86,7 @@
   function applyPause(from: SignalOrigin, pause: Millis): void {
     const { endpoint } = from;
     metrics.countSignal(endpoint.pool, "pause");
-    pauses.note(formatEndpointKey(endpoint), pause);
+    pauses.record(formatEndpointKey(endpoint), pause);
     recordChange(from, { pause, outcome: "paused" });
   }
 
--- a/packages/serving/src/fallback_peers.ts
+++ b/packages/serving/src/fallback_peers.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import { drawSome } from "@mangoreach/coordination";
+import { sampleItems } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 
 /** Options of {@linkcode createFallbackPeers}. */
@@ -48,7 +48,7 @@
 
   function chooseCandidates(candidates: () => readonly string[]): string[] {
     if (clock.now() < nextSearchAt) return [];
-    return drawSome(candidates(), { count: SEARCH_COUNT, random });
+    return sampleItems(candidates(), { count: SEARCH_COUNT, random });
   }
 
   return {
--- a/packages/serving/src/keyed_follower.ts
+++ b/packages/serving/src/keyed_follower.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { KnowledgeTime } from "@mangoreach/coordination";
+import type { DataTimestamp } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type {
   KeyedReading,
@@ -28,7 +28,7 @@
    * Called when the records applied so far are known to be complete at
    * `requestedAt`.
    */
-  recordConfirmed(requestedAt: KnowledgeTime): void;
+  recordConfirmed(requestedAt: DataTimestamp): void;
   /** Called when the topic has become unavailable. */
   handleUnavailable(): void;
   /** Called when the topic is available again. */
@@ -42,7 +42,7 @@
   signal: AbortSignal;
   source: KeyedSource;
   sink: TopicSink;
-  readTime: () => KnowledgeTime;
+  readTime: () => DataTimestamp;
   /** Long-poll wait of one read. */
   wait: Millis;
   /** Pause after a successful read from the store. */
@@ -91,7 +91,7 @@
     isUnavailable = true;
   }
 
-  function applyResult(result: KeyedReading, requestedAt: KnowledgeTime): void {
+  function applyResult(result: KeyedReading, requestedAt: DataTimestamp): void {
     if (isUnavailable) sink.handleAvailable();
     isUnavailable = false;
     readAt = clock.now();
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -13,9 +13,9 @@
   PeerView,
 } from "@mangoreach/coordination";
 import {
-  createLearningCheck,
+  createDiscoveryCheck,
   createMembership,
-  drawEntries,
+  sampleEntries,
 } from "@mangoreach/coordination";
 import type { ExchangeLoop, ServingPeerClient } from "@mangoreach/peers";
 import { createServingPeerClient, startExchangeLoop } from "@mangoreach/peers";
@@ -53,7 +53,7 @@
    * Called periodically with the newest configuration version among live peers.
    */
   recordPeerVersion: (version: number) => void;
-  limits: Pick<EndpointLimits, "chooseNews" | "takeNews">;
+  limits: Pick<EndpointLimits, "chooseUpdates" | "applyUpdate">;
   /** Source and receiver of updates about quarantined contents. */
   quarantine: Pick<QuarantineNews, "readNews" | "takeNews">;
 }
@@ -99,7 +99,7 @@
   const { clock, readWallTime, random, log, metrics, settings } = options;
   /** Incarnation and state of each peer as last logged. */
   const peerStates = new Map<string, string>();
-  const isLearning = createLearningCheck(clock);
+  const isLearning = createDiscoveryCheck(clock);
 
   const self: PeerRecord = {
     entry: settings.entry,
@@ -190,8 +190,8 @@
           });
         }
       },
-      chooseLimitNews: options.limits.chooseNews,
-      noteLimitNews: options.limits.takeNews,
+      chooseLimitNews: options.limits.chooseUpdates,
+      noteLimitNews: options.limits.applyUpdate,
       readPoisonNews: options.quarantine.readNews,
       notePoisonNews: options.quarantine.takeNews,
       onIntroduced: recordPeer,
@@ -232,10 +232,10 @@
       const others = membership.list();
       const isLive = options.readState() === "live";
       const views = isLive ? [own, ...others] : others;
-      return drawEntries(views, {
+      return sampleEntries(views, {
         limit,
         random,
-        isLearning: isLearning(),
+        isDiscovering: isLearning(),
       });
     },
   };
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -7,15 +7,15 @@
 import type {
   DelayModel,
   EndpointInfo,
-  EngineChoice,
+  EngineSelector,
   RetryBudget,
   RouteTable,
   SendAllowance,
 } from "@mangoreach/coordination";
 import {
   createDelayModel,
-  createEngineChoice,
-  createLearningCheck,
+  createDiscoveryCheck,
+  createEngineSelector,
   createRetryBudget,
   listPartitionEndpoints,
 } from "@mangoreach/coordination";
@@ -59,7 +59,7 @@
   findFeeder(pool: string, partition: string): StageDispatcher;
   findBudget(pool: string): RetryBudget;
   findDelays(pool: string): DelayModel;
-  findEngineChoice(pool: string): EngineChoice;
+  findEngineChoice(pool: string): EngineSelector;
   /** Makes all dispatchers dispatch again, after endpoints have changed. */
   refreshFeeders(): void;
 }
@@ -106,7 +106,7 @@
 ): PoolComponents {
   const { clock, log, loads } = options;
   const dispatchers = new Map<string, StageDispatcher>();
-  const isDiscovering = createLearningCheck(clock);
+  const isDiscovering = createDiscoveryCheck(clock);
   let maxEntries = MIN_ENTRIES;
 
   function findFeeder(pool: string, partition: string): StageDispatcher {
@@ -159,7 +159,7 @@
     })
   );
   const findDelays = createPerPool(createDelayModel);
-  const findEngineChoice = createPerPool(() => createEngineChoice(clock));
+  const findEngineChoice = createPerPool(() => createEngineSelector(clock));
 
   function refreshFeeders(): void {
     for (const dispatcher of dispatchers.values()) dispatcher.refresh();
--- a/packages/serving/src/request_admission_test.ts
+++ b/packages/serving/src/request_admission_test.ts
@@ -1,4 +1,4 @@
-import { createKnowledgeAge } from "@mangoreach/coordination";
+import { createDataAge } from "@mangoreach/coordination";
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { admitRequest } from "./request_admission.ts";
@@ -24,8 +24,8 @@
     { age = 0, hasConfig = true, isBehind = false } = {},
   ) {
     const clock = createFakeClock(0);
-    const configAge = createKnowledgeAge({ clock, readWallTime: clock.now });
-    configAge.noteConfirmed(configAge.readTime());
+    const configAge = createDataAge({ clock, readWallTime: clock.now });
+    configAge.recordConfirmed(configAge.readTime());
     await clock.advance(age);
     const state = {
       readTable: () => hasConfig ? TABLE : undefined,
--- a/packages/serving/src/request_service_test.ts
+++ b/packages/serving/src/request_service_test.ts
@@ -54,7 +54,7 @@
         ),
     });
     state.directory.replaceAll(endpoints.map((id) => createTestEndpoint(id)));
-    state.configAge.noteConfirmed(state.configAge.readTime());
+    state.configAge.recordConfirmed(state.configAge.readTime());
     const { response, seen } = createRecordedResponse();
     const task = serveRequest(state, {
       request: {
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -12,8 +12,8 @@
   RequestLimits,
 } from "@mangoreach/coordination";
 import {
-  createCallerElapsed,
   createColdAllowance,
+  createElapsedEstimator,
   createEntryAllowance,
   createPoisonQuarantine,
   listSendingMembers,
@@ -208,8 +208,8 @@
     readConfigVersion: readVersion,
     recordPeerVersion: freshness.recordPeerVersion,
     limits: {
-      chooseNews: (count) => limits.chooseNews(count),
-      takeNews: (limitNews) => limits.takeNews(limitNews),
+      chooseUpdates: (count) => limits.chooseUpdates(count),
+      applyUpdate: (limitNews) => limits.applyUpdate(limitNews),
     },
     quarantine: {
       readNews: () => quarantineNews.readNews(),
@@ -260,13 +260,13 @@
     listMembers: () =>
       siteState.hasMembers() ? listSendingMembers(membership) : undefined,
     directory,
-    isFed: (pool) => readTable()?.findPool(pool)?.batching !== undefined,
+    isDispatched: (pool) => readTable()?.findPool(pool)?.batching !== undefined,
     cold: createColdAllowance({
       clock,
       entry: settings.entry,
       listEntries: listSenders,
       isCold: siteState.isCold,
-      readNewsAge: siteState.readEndpointAge,
+      readUpdateAge: siteState.readEndpointAge,
       readRate: (pool) => readTable()?.findPool(pool)?.coldRate ?? 0,
     }),
   });
@@ -339,7 +339,7 @@
     findBudget: pools.findBudget,
     findDelays: pools.findDelays,
     findEngineChoice: pools.findEngineChoice,
-    callerElapsed: createCallerElapsed(clock),
+    callerElapsed: createElapsedEstimator(clock),
     shutdown: shutdown.signal,
   };
 
--- a/packages/serving/src/serving_state.ts
+++ b/packages/serving/src/serving_state.ts
@@ -4,12 +4,12 @@
  * @module
  */
 import type {
-  CallerElapsed,
+  DataAge,
   DelayModel,
+  ElapsedEstimator,
   EndpointDirectory,
   EndpointInfo,
-  EngineChoice,
-  KnowledgeAge,
+  EngineSelector,
   Membership,
   RetryBudget,
   RouteTable,
@@ -32,7 +32,7 @@
   metrics: ServingMetrics;
   /** Returns the configuration in force; undefined before the first one. */
   readTable: () => RouteTable | undefined;
-  configAge: KnowledgeAge;
+  configAge: DataAge;
   /** Whether peers have a newer configuration than the store. */
   isBehindPeers: () => boolean;
   /** Client accounts are not served by a configuration older than this. */
@@ -53,9 +53,9 @@
   /** Returns the place of the endpoint at an address, if it is known. */
   findPlace: (address: string) => string | undefined;
   findBudget: (pool: string) => RetryBudget;
-  callerElapsed: CallerElapsed;
+  callerElapsed: ElapsedEstimator;
   /** Aborts shortly before the process exits: every caller gets an answer. */
   shutdown: AbortSignal;
   findDelays: (pool: string) => DelayModel;
-  findEngineChoice: (pool: string) => EngineChoice;
+  findEngineChoice: (pool: string) => EngineSelector;
 }
--- a/packages/serving/src/signalling_fleet.ts
+++ b/packages/serving/src/signalling_fleet.ts
@@ -131,7 +131,7 @@
 
   async function send(mayRetry: boolean): Promise<void> {
     const state = states[engine.integer(0, states.length - 1)]!;
-    state.configAge.noteConfirmed(state.configAge.readTime());
+    state.configAge.recordConfirmed(state.configAge.readTime());
     const receivedAt = clock.now();
     const { response, seen } = createRecordedResponse();
     response.refuse = ({ retryAfterMs: retryAfter = 0 }) => {
@@ -181,7 +181,7 @@
   const allowances: EntryAllowance[] = [];
 
   function createEntry(_: unknown, entry: number): ServingState {
-    const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
+    const directory = createEndpointDirectory({ clock, markTtl: 1_000 });
     directory.replaceAll(infos);
     const reportedBy = new Map<number, ReportedSignals[]>();
     const callEndpoint: CallEndpoint = async ({ endpoint, request }) => {
@@ -224,7 +224,7 @@
       entry: membership.self.entry,
       listMembers: () => listSendingMembers(membership),
       directory,
-      isFed: () => false,
+      isDispatched: () => false,
     });
     allowances[entry] = entryAllowance;
     const state = createTestState(clock, {
@@ -250,8 +250,8 @@
     for (const { limits } of allowances) {
       const index = Math.floor(random() * allowances.length);
       const partner = allowances[index]!.limits;
-      limits.chooseNews(MAX_UPDATES).forEach(partner.takeNews);
-      partner.chooseNews(MAX_UPDATES).forEach(limits.takeNews);
+      limits.chooseUpdates(MAX_UPDATES).forEach(partner.applyUpdate);
+      partner.chooseUpdates(MAX_UPDATES).forEach(limits.applyUpdate);
     }
     clock.startTimer(EXCHANGE_INTERVAL, exchangeUpdates);
   }
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_knowledge.ts
@@ -7,19 +7,19 @@
  */
 import type {
   ColdEndpoints,
+  DataAge,
   EndpointDirectory,
   EndpointInfo,
-  EndpointRoster,
-  KnowledgeAge,
+  EndpointRegistry,
   PlaceEvacuation,
   RouteTable,
   ServingConfig,
 } from "@mangoreach/coordination";
 import {
   createColdEndpoints,
+  createDataAge,
   createEndpointDirectory,
-  createEndpointRoster,
-  createKnowledgeAge,
+  createEndpointRegistry,
   createPlaceEvacuation,
   createRouteTable,
 } from "@mangoreach/coordination";
@@ -77,7 +77,7 @@
   readPublished(): string | undefined;
   /** Applies a peer's configuration if it is newer than the one in force. */
   applyPublished(value: string): void;
-  readonly configAge: KnowledgeAge;
+  readonly configAge: DataAge;
   readonly directory: EndpointDirectory;
   /** Whether an endpoint is cold, or may be cold. */
   isCold(endpoint: EndpointInfo): boolean;
@@ -134,8 +134,8 @@
   let byAddress: ReadonlyMap<string, readonly EndpointInfo[]> = new Map();
   /** Keys of records that could not be decoded. */
   const undecodable = new Set<string>();
-  const configAge = createKnowledgeAge({ clock, readWallTime });
-  const endpointAge = createKnowledgeAge({ clock, readWallTime });
+  const configAge = createDataAge({ clock, readWallTime });
+  const endpointAge = createDataAge({ clock, readWallTime });
   const reads: Record<TopicName, ReadTracker> = {
     config: createWatch("config"),
     endpoints: createWatch("endpoints"),
@@ -166,7 +166,7 @@
     return createTopicRelay({
       clock,
       source: options.createRelayedSource(topic, source, reads[topic]),
-      age: createKnowledgeAge({ clock, readWallTime }),
+      age: createDataAge({ clock, readWallTime }),
       readContent,
     });
   }
@@ -193,13 +193,13 @@
 
   const directory = createEndpointDirectory({
     clock,
-    markLifetime: LEAVING_MARK_TTL,
+    markTtl: LEAVING_MARK_TTL,
     isEvacuated: evacuation.isEvacuated,
   });
 
-  const roster: EndpointRoster = createEndpointRoster({
+  const roster: EndpointRegistry = createEndpointRegistry({
     clock,
-    returnGrace: RECOVERY_GRACE,
+    recoveryGrace: RECOVERY_GRACE,
     onChange(endpoints) {
       byAddress = createAddressIndex(endpoints);
       directory.replaceAll(endpoints);
@@ -247,7 +247,7 @@
       applyConfigRecord(record);
       applyEvacuation(record);
     },
-    recordConfirmed: configAge.noteConfirmed,
+    recordConfirmed: configAge.recordConfirmed,
     handleUnavailable: () => recordDependency("lost", "config"),
     handleAvailable: () => recordDependency("regained", "config"),
   };
@@ -282,7 +282,7 @@
 
   const endpointSink: TopicSink = {
     handleRestored() {
-      roster.noteRestored();
+      roster.handleRestored();
       recordRestored("endpoints");
     },
     replaceAll(records) {
@@ -305,13 +305,13 @@
       // The newest record of this id does not describe a usable endpoint.
       else roster.remove(record.key);
     },
-    recordConfirmed: endpointAge.noteConfirmed,
+    recordConfirmed: endpointAge.recordConfirmed,
     handleUnavailable() {
-      roster.noteAway();
+      roster.handleUnavailable();
       recordDependency("lost", "instance_list");
     },
     handleAvailable() {
-      roster.noteBack();
+      roster.handleAvailable();
       recordDependency("regained", "instance_list");
     },
   };
@@ -345,7 +345,7 @@
   }
 
   function recordCold(endpoint: EndpointInfo): void {
-    if (!cold.note(endpoint)) return;
+    if (!cold.record(endpoint)) return;
     log.record("endpoint_changed", {
       endpoint: endpoint.id,
       pool: endpoint.pool,
@@ -408,7 +408,7 @@
     isCold: (endpoint) =>
       cold.isCold(endpoint) || evacuation.isReturning(endpoint.place),
     readEndpointAge: endpointAge.read,
-    recordUnreachable: cold.noteUnreachable,
+    recordUnreachable: cold.recordUnreachable,
     findPlace: (address) => listAt(address).at(-1)?.place,
     listAt,
     relays,
--- a/packages/serving/src/stage_back_pressure_test.ts
+++ b/packages/serving/src/stage_back_pressure_test.ts
@@ -56,7 +56,7 @@
     entry: "entry",
     listMembers: () => [createTestPeer("entry")],
     directory: { listUsable: () => endpoints },
-    isFed: () => true,
+    isDispatched: () => true,
   });
   const { dispatcher, stages } = createTestDispatcher(
     clock,
--- a/packages/serving/src/stage_endpoint_calls.ts
+++ b/packages/serving/src/stage_endpoint_calls.ts
@@ -67,7 +67,7 @@
       if (calls === 0 && !keys.has(key)) states.delete(key);
     }
     const now = clock.now();
-    return loads.listInUse(endpoints).map(({ info, slowness }) => {
+    return loads.listInUse(endpoints).map(({ info, slowdown: slowness }) => {
       const key = formatEndpointKey(info);
       const free = { calls: 0, freeAt: 0, roomTaken: 0, blockedUntil: 0 };
       const endpoint = states.get(key) ?? { key, info, slowness, ...free };
--- a/packages/serving/src/test_fleet.ts
+++ b/packages/serving/src/test_fleet.ts
@@ -93,7 +93,7 @@
     { length: endpoints },
     (_, number) => createTestEndpoint(`e${number}`),
   );
-  const directory = createEndpointDirectory({ clock, markLifetime: 1_000 });
+  const directory = createEndpointDirectory({ clock, markTtl: 1_000 });
   directory.replaceAll(runningEndpoints);
   const running = new Set<RunningCall>();
   const reached: { body: string; endpointKey: string }[] = [];
@@ -244,7 +244,7 @@
   async function send({ entry, body }: Arrival): Promise<ArrivalOutcome> {
     const startedAt = clock.now();
     const state = states[entry]!;
-    state.configAge.noteConfirmed(state.configAge.readTime());
+    state.configAge.recordConfirmed(state.configAge.readTime());
     const { response, seen } = createRecordedResponse();
     await serveRequest(state, {
       request: {
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -14,10 +14,10 @@
   ServingConfig,
 } from "@mangoreach/coordination";
 import {
+  createDataAge,
   createDelayModel,
   createEndpointDirectory,
-  createEngineChoice,
-  createKnowledgeAge,
+  createEngineSelector,
   createMembership,
   createRetryBudget,
   createRouteTable,
@@ -287,7 +287,7 @@
     log: createSilentDecisionLog(),
     metrics: createServingMetrics("entry"),
     readTable: () => undefined,
-    configAge: createKnowledgeAge({ clock, readWallTime: clock.now }),
+    configAge: createDataAge({ clock, readWallTime: clock.now }),
     isBehindPeers: () => false,
     maxKeyAge: 1_000,
     membership: createMembership({
@@ -297,7 +297,7 @@
       loseAfter: 1,
       self: createTestPeer("entry"),
     }),
-    directory: createEndpointDirectory({ clock, markLifetime: 1_000 }),
+    directory: createEndpointDirectory({ clock, markTtl: 1_000 }),
     loads: createEndpointLoads(clock),
     sendAllowance: createOpenAllowance(),
     noteSignals: () => {},
@@ -319,7 +319,7 @@
     findPlace: () => undefined,
     findBudget: () => createRetryBudget({ share: 0, max: 10 }),
     findDelays: createDelayModel,
-    findEngineChoice: () => createEngineChoice(clock),
+    findEngineChoice: () => createEngineSelector(clock),
     shutdown: new AbortController().signal,
     ...change,
   };
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { KnowledgeAge, KnowledgeTime } from "@mangoreach/coordination";
+import type { DataAge, DataTimestamp } from "@mangoreach/coordination";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { RelayedSource } from "./shared_source.ts";
@@ -29,7 +29,7 @@
   /** Where this entry reads: the store, or another entry. */
   source: ReadableSource;
   /** Tracks how long ago the store confirmed the relayed data. */
-  age: KnowledgeAge;
+  age: DataAge;
   /**
    * Returns a record's content without heartbeats. A record with the same
    * content as the previous one of its key is not relayed.
@@ -172,10 +172,10 @@
   }
 
   function recordConfirmed(
-    requestedAt: KnowledgeTime,
+    requestedAt: DataTimestamp,
     { age: dataAge = 0 }: KeyedReading,
   ) {
-    age.noteConfirmed({
+    age.recordConfirmed({
       monotonic: requestedAt.monotonic - dataAge,
       wall: requestedAt.wall - dataAge,
     });
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -1,4 +1,4 @@
-import { createKnowledgeAge } from "@mangoreach/coordination";
+import { createDataAge } from "@mangoreach/coordination";
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
@@ -31,7 +31,7 @@
           );
         },
       },
-      age: createKnowledgeAge({ clock, readWallTime: clock.now }),
+      age: createDataAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value?.split("/")[0] ?? "",
     });
     await relay.source.readNewest();
@@ -86,7 +86,7 @@
         readFrom: () => Promise.resolve(Result.ok(createResult(5))),
         mayRelay: () => !isLost,
       },
-      age: createKnowledgeAge({ clock, readWallTime: clock.now }),
+      age: createDataAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value ?? "",
     });
     await relay.source.readNewest();
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Membership, PeerRecord } from "@mangoreach/coordination";
-import { createKnowledgeAge, createMembership } from "@mangoreach/coordination";
+import { createDataAge, createMembership } from "@mangoreach/coordination";
 import type { TopicName, TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { FakeClock, Millis } from "@mangoreach/shared";
 import { createFakeClock } from "@mangoreach/shared";
@@ -161,13 +161,13 @@
         timing,
         reads: createReadTracker({ clock, onEnd: () => {} }),
       }),
-      age: createKnowledgeAge({ clock, readWallTime: clock.now }),
+      age: createDataAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value ?? "",
     });
     return {
       relay,
       version: 0,
-      age: createKnowledgeAge({ clock, readWallTime: clock.now }),
+      age: createDataAge({ clock, readWallTime: clock.now }),
     };
   });
 
@@ -202,7 +202,7 @@
         replaceAll: (list) =>
           entry.version = Math.max(...list.map(({ value }) => Number(value))),
         apply: ({ value }) => entry.version = Number(value),
-        recordConfirmed: entry.age.noteConfirmed,
+        recordConfirmed: entry.age.recordConfirmed,
         handleUnavailable: () => {},
         handleAvailable: () => {},
       },
