--- a/bench/src/slopes.ts
+++ b/bench/src/slopes.ts
@@ -127,8 +127,8 @@
     clock,
     self: createPeer(0),
     random: Math.random,
-    suspectAfter: 5_000,
-    loseAfter: 15_000,
+    suspectTimeout: 5_000,
+    lostTimeout: 15_000,
   });
   members.merge(Array.from({ length: count }, (_, i) => createPeer(i + 1)));
   return members;
@@ -171,7 +171,7 @@
     account: "a",
     size: 100,
     deadline,
-    reserve: 0,
+    reservedTime: 0,
   };
   const cost = measureCpu(20_000, () => {
     const permit = pool.tryAcquire(work, []);
@@ -187,7 +187,7 @@
   let beat = 1;
   return measureCpu(2_000, () => {
     beat++;
-    members.beat({});
+    members.updateSelf({});
     members.merge(
       Array.from({ length: 11 }, (_, i) => ({
         ...createPeer(1 + (beat * 11 + i) % count),
@@ -195,7 +195,7 @@
       })),
     );
     JSON.stringify(members.chooseRecords(12));
-    members.choosePartner();
+    members.choosePeer();
   });
 }
 
--- a/packages/coordination/src/cold_allowance.ts
+++ b/packages/coordination/src/cold_allowance.ts
@@ -18,7 +18,7 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { EndpointInfo } from "./endpoint.ts";
 import { formatEndpointKey } from "./endpoint.ts";
-import { createSenderRank, listSendersFor } from "./sender_rank.ts";
+import { createSenderRank, rankSenders } from "./sender_rank.ts";
 import type { BucketRate } from "./token_buckets.ts";
 import { createTokenBuckets } from "./token_buckets.ts";
 
@@ -94,7 +94,7 @@
     entry,
     listSenders: (endpoint) => {
       const entries = listEntries();
-      return entries && listSendersFor(entries, endpoint);
+      return entries && rankSenders(entries, endpoint);
     },
   });
 
--- a/packages/coordination/src/entry_allowance.ts
+++ b/packages/coordination/src/entry_allowance.ts
@@ -20,12 +20,12 @@
 import type { Membership, PeerRecord } from "./membership.ts";
 import {
   choosePartition,
-  listFeederOrder,
+  listDispatcherOrder,
   listPartitions,
 } from "./pool_partition.ts";
 import type { SendAllowance } from "./send_allowance.ts";
 import { createSendAllowance } from "./send_allowance.ts";
-import { createSenderRank, listSendersFor } from "./sender_rank.ts";
+import { createSenderRank, rankSenders } from "./sender_rank.ts";
 
 /** Options of {@linkcode createEntryAllowance}. */
 export interface EntryAllowanceOptions {
@@ -88,11 +88,11 @@
     if (members === undefined) return undefined;
     const { pool, place } = endpoint;
     if (!isDispatched(pool)) {
-      return listSendersFor(members.map((member) => member.entry), endpoint);
+      return rankSenders(members.map((member) => member.entry), endpoint);
     }
     const partitions = listPartitions(directory.listUsable(pool));
     const partition = choosePartition(partitions, place);
-    return listFeederOrder(members, { pool, partition })
+    return listDispatcherOrder(members, { pool, partition })
       .map((member) => member.entry);
   }
 
--- a/packages/coordination/src/high_capacity_members.ts
+++ b/packages/coordination/src/high_capacity_members.ts
@@ -9,7 +9,7 @@
 const MIN_CAPACITY_SHARE = 0.6;
 
 /** Returns the members whose capacity is near the largest. */
-export function listStrong<T>(
+export function listHighCapacity<T>(
   members: readonly T[],
   readCapacity: (member: T) => number,
 ): T[] {
--- a/packages/coordination/src/high_capacity_members_test.ts
+++ b/packages/coordination/src/high_capacity_members_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { listStrong } from "./high_capacity_members.ts";
+import { listHighCapacity } from "./high_capacity_members.ts";
 
 describe("high-capacity members", () => {
   const CASES = [
@@ -10,7 +10,7 @@
   ];
   for (const { members, strong: expected } of CASES) {
     it(`of ${members.join(", ") || "none"} are those near the largest`, () => {
-      expect(listStrong(members, (capacity) => capacity))
+      expect(listHighCapacity(members, (capacity) => capacity))
         .to.deep.equal(expected);
     });
   }
--- a/packages/coordination/src/locality_wait.ts
+++ b/packages/coordination/src/locality_wait.ts
@@ -46,7 +46,7 @@
     const perRound = queue.endpoints * spec.slots * spec.maxPieces;
     const rounds = Math.floor(queue.ahead / perRound);
     const startsAt = Math.max(now, queue.freeAt) + rounds * fullCall;
-    if (startsAt + fullCall >= piece.onTimeAt) continue;
+    if (startsAt + fullCall >= piece.objectiveAt) continue;
     queue.ahead++;
     chosen.add(piece);
   }
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -7,7 +7,7 @@
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import { sampleItems } from "./draw.ts";
-import { listStrong } from "./high_capacity_members.ts";
+import { listHighCapacity } from "./high_capacity_members.ts";
 
 /** The state that an entry publishes about itself. */
 export interface PeerRecord {
@@ -68,17 +68,17 @@
   self: PeerRecord;
   /** Returns a number from 0 up to 1. */
   random: () => number;
-  suspectAfter: Millis;
-  loseAfter: Millis;
+  suspectTimeout: Millis;
+  lostTimeout: Millis;
   /** Returns the factor on both time-outs for this number of peers. */
-  scalePatience?: (peers: number) => number;
+  computeTimeoutFactor?: (peers: number) => number;
 }
 
 /** The peers of one entry. */
 export interface Membership {
   readonly self: PeerRecord;
   /** Updates the record of this entry and increments its heartbeat. */
-  beat(change: Partial<Pick<PeerRecord, SelfUpdate>>): void;
+  updateSelf(change: Partial<Pick<PeerRecord, SelfUpdate>>): void;
   /**
    * Merges records of peers; returns those that were newer than the known ones.
    */
@@ -86,7 +86,7 @@
   /**
    * Merges records that may be stale: suspected until a newer record arrives.
    */
-  mergeDoubtful(records: readonly PeerRecord[]): PeerRecord[];
+  mergeUnverified(records: readonly PeerRecord[]): PeerRecord[];
   /**
    * Marks a peer that could not be reached as suspected until a record with a
    * later heartbeat arrives. Returns whether the suspicion is new.
@@ -105,7 +105,7 @@
    */
   chooseRecords(limit: number): PeerRecord[];
   /** Chooses the next peer to exchange with, usually one of the same place. */
-  choosePartner(): PeerRecord | undefined;
+  choosePeer(): PeerRecord | undefined;
 }
 
 type SelfUpdate =
@@ -127,7 +127,7 @@
 const MAX_HIGH_CAPACITY_RECORDS = 8;
 /** How long a suspicion is forwarded. */
 const SUSPICION_TTL: Millis = 5_000;
-/** A peer is removed after this many times `loseAfter` without a heartbeat. */
+/** A peer is removed after this many times `lostTimeout` without a heartbeat. */
 const FORGET_FACTOR = 30;
 
 /** Creates the view of an entry that knows only itself. */
@@ -138,10 +138,10 @@
     clock,
     self,
     random,
-    suspectAfter: suspectTimeout,
-    loseAfter: lostTimeout,
+    suspectTimeout,
+    lostTimeout,
   } = options;
-  const { scalePatience: computeTimeoutFactor = () => 1 } = options;
+  const { computeTimeoutFactor = () => 1 } = options;
   const peers = new Map<string, KnownPeer>();
   let own = self;
 
@@ -243,7 +243,7 @@
     const known = list()
       .filter(({ health }) => health !== "lost")
       .map(({ record }) => record);
-    const highCapacity = listStrong(known, ({ capacity }) => capacity);
+    const highCapacity = listHighCapacity(known, ({ capacity }) => capacity);
     const isMixed = highCapacity.length < known.length;
     const always = new Set(
       isMixed
@@ -280,14 +280,14 @@
     get self() {
       return own;
     },
-    beat: updateSelf,
+    updateSelf,
     merge,
-    mergeDoubtful: mergeUnverified,
+    mergeUnverified,
     markSuspected,
     chooseSuspicions,
     list,
     chooseRecords,
-    choosePartner: choosePeer,
+    choosePeer,
   };
 }
 
--- a/packages/coordination/src/membership_test.ts
+++ b/packages/coordination/src/membership_test.ts
@@ -29,8 +29,8 @@
       clock,
       self: peer("self"),
       random,
-      suspectAfter: 100,
-      loseAfter: 300,
+      suspectTimeout: 100,
+      lostTimeout: 300,
     });
     return { clock, members };
   }
@@ -85,8 +85,8 @@
       clock: createFakeClock(0),
       self: peer("b"),
       random: () => 0.5,
-      suspectAfter: 100,
-      loseAfter: 300,
+      suspectTimeout: 100,
+      lostTimeout: 300,
     });
     known.merge([peer("self", { incarnation: "before", startedAt: 5_000 })]);
     const { members } = create();
@@ -115,8 +115,8 @@
       clock,
       self: peer("self"),
       random: () => random.real(0, 1),
-      suspectAfter: 2_500,
-      loseAfter: 6_000,
+      suspectTimeout: 2_500,
+      lostTimeout: 6_000,
     });
     members.merge(Array.from({ length: 60 }, (_, i) => peer(`e${i}`)));
     const sent = new Set<string>();
@@ -145,9 +145,9 @@
   // Each caller sent to it would lose a second.
   it("suspects peers read from the store until they send a heartbeat", () => {
     const { members } = create();
-    members.mergeDoubtful([peer("b")]);
+    members.mergeUnverified([peer("b")]);
     expect(members.list()[0]?.health).to.equal("suspected");
-    members.mergeDoubtful([peer("b")]);
+    members.mergeUnverified([peer("b")]);
     members.merge([peer("b", { heartbeat: 2 })]);
     expect(members.list()[0]?.health).to.equal("alive");
   });
@@ -158,9 +158,9 @@
       clock,
       self: peer("self"),
       random: () => 0.5,
-      suspectAfter: 100,
-      loseAfter: 300,
-      scalePatience: (known) => known,
+      suspectTimeout: 100,
+      lostTimeout: 300,
+      computeTimeoutFactor: (known) => known,
     });
     members.merge([peer("b"), peer("c")]);
     await clock.advance(150);
@@ -170,10 +170,10 @@
   it("prefers peers in its own place and sometimes chooses others", () => {
     const own = create(() => 0.9);
     own.members.merge([peer("near"), peer("far", { place: "voss" })]);
-    expect(own.members.choosePartner()?.entry).to.equal("near");
+    expect(own.members.choosePeer()?.entry).to.equal("near");
     const other = create(() => 0.2);
     other.members.merge([peer("near"), peer("far", { place: "voss" })]);
-    expect(other.members.choosePartner()?.entry).to.equal("far");
+    expect(other.members.choosePeer()?.entry).to.equal("far");
   });
 
   // Two regions are partitioned for an hour, and each half marks the other as
@@ -183,6 +183,6 @@
     members.merge([peer("b")]);
     await clock.advance(1_000);
     members.merge([peer("c", { heartbeat: 5 })]);
-    expect(members.choosePartner()?.entry).to.equal("b");
+    expect(members.choosePeer()?.entry).to.equal("b");
   });
 });
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -13,7 +13,7 @@
 export type { CancelReason, Deadline, DeadlineOptions } from "./deadline.ts";
 export { createDeadline } from "./deadline.ts";
 export type {
-  EndedRun,
+  CrashedRun,
   PoisonQuarantine,
   QuarantinedContent,
   SuspectedContent,
@@ -33,7 +33,7 @@
   ForbidResult,
   OutcomeTable,
   OutcomeTableOptions,
-  OwnedRun,
+  RunHandle,
 } from "./outcome_table.ts";
 export { createOutcomeTable } from "./outcome_table.ts";
 export type {
@@ -98,7 +98,7 @@
 } from "./place_evacuation.ts";
 export { createPlaceEvacuation } from "./place_evacuation.ts";
 export type { PeerVersionTracker } from "./peer_version_tracker.ts";
-export { createVersionWatch } from "./peer_version_tracker.ts";
+export { createPeerVersionTracker } from "./peer_version_tracker.ts";
 export type { ColdEndpoints } from "./cold_endpoints.ts";
 export { createColdEndpoints } from "./cold_endpoints.ts";
 export type { ColdAllowance, ColdAllowanceOptions } from "./cold_allowance.ts";
@@ -128,7 +128,7 @@
 export { createEntryAllowance, listSendingMembers } from "./entry_allowance.ts";
 export { createDiscoveryCheck } from "./learning_time.ts";
 export type { FindSenderRank, SenderRankOptions } from "./sender_rank.ts";
-export { createSenderRank, listSendersFor } from "./sender_rank.ts";
+export { createSenderRank, rankSenders } from "./sender_rank.ts";
 export type { SendAllowance, SendAllowanceOptions } from "./send_allowance.ts";
 export { createSendAllowance } from "./send_allowance.ts";
 export type { DelayModel } from "./delay_model.ts";
@@ -152,7 +152,7 @@
 export { createAttainmentTracker } from "./attainment.ts";
 export type {
   DemandTracker,
-  EngineHolding,
+  EngineInventory,
   EnginePlan,
   ModelDemand,
   PlacedModel,
@@ -184,7 +184,7 @@
 } from "./work_queue.ts";
 export { createWorkQueue } from "./work_queue.ts";
 export type {
-  AttemptEnd,
+  AttemptOutcome,
   EndpointStatus,
   Permit,
   PoolPolicy,
@@ -229,8 +229,8 @@
   EndpointRegistryOptions,
 } from "./endpoint_roster.ts";
 export { createEndpointRegistry } from "./endpoint_roster.ts";
-export { listStrong } from "./high_capacity_members.ts";
-export { computeHash, listByRendezvous, listNearFirst } from "./rendezvous.ts";
+export { listHighCapacity } from "./high_capacity_members.ts";
+export { computeHash, listByRendezvous, listLocalFirst } from "./rendezvous.ts";
 export { sampleItems } from "./draw.ts";
 export type {
   BatchEndpoint,
@@ -244,15 +244,15 @@
 export { createElapsedEstimator } from "./caller_elapsed.ts";
 export type { PieceRates, PieceWaits, WaitForecast } from "./piece_rates.ts";
 export {
-  chooseOverflow,
+  chooseOverflowPartition,
   choosePartition,
-  listFeederOrder,
+  listDispatcherOrder,
   listPartitionEndpoints,
   listPartitions,
   OVERFLOW_WAIT,
   UNPARTITIONED,
 } from "./pool_partition.ts";
-export { createPieceFlow } from "./piece_rates.ts";
+export { createPieceRates } from "./piece_rates.ts";
 export type {
   EngineSelector,
   EngineView,
--- a/packages/coordination/src/outcome_table.ts
+++ b/packages/coordination/src/outcome_table.ts
@@ -17,7 +17,7 @@
   /**
    * A new request: the caller of `begin` now owns the run and must finish it.
    */
-  | { kind: "fresh"; run: OwnedRun<T> }
+  | { kind: "fresh"; run: RunHandle<T> }
   /**
    * The request is running or has run; `outcome` resolves when it has ended.
    */
@@ -28,7 +28,7 @@
   | { kind: "full" };
 
 /** The right to run a request once. */
-export interface OwnedRun<T> {
+export interface RunHandle<T> {
   /** Records the outcome for repeated requests. */
   finish(outcome: T): void;
   /**
@@ -102,7 +102,7 @@
     const text = formatRequestKey(key);
     const { promise, resolve } = createDeferred<T>();
     records.set(text, { keepUntil, outcome: promise });
-    const run: OwnedRun<T> = {
+    const run: RunHandle<T> = {
       finish: resolve,
       abandon(outcome) {
         records.delete(text);
--- a/packages/coordination/src/peer_version_tracker.ts
+++ b/packages/coordination/src/peer_version_tracker.ts
@@ -13,7 +13,7 @@
 /** Tracks the configuration versions of peers, independent of the store. */
 export interface PeerVersionTracker {
   /** Records the newest version that a live peer has. */
-  note(version: number): void;
+  record(version: number): void;
   /** Returns the newest version that a live peer has; 0 if there is none. */
   readNewest(): number;
   /**
@@ -35,7 +35,7 @@
 const MAX_NEWER = 100;
 
 /** Creates the tracker of an entry without peers. */
-export function createVersionWatch(clock: Clock): PeerVersionTracker {
+export function createPeerVersionTracker(clock: Clock): PeerVersionTracker {
   /** Reported versions newer than this entry's, oldest first. */
   let newer: NewerVersion[] = [];
   let newest = 0;
@@ -57,5 +57,5 @@
       now - age > first.seenAt;
   }
 
-  return { note: record, readNewest: () => newest, isBehind };
+  return { record, readNewest: () => newest, isBehind };
 }
--- a/packages/coordination/src/piece_batcher.ts
+++ b/packages/coordination/src/piece_batcher.ts
@@ -34,22 +34,22 @@
   /** 0 is the highest. */
   priority: number;
   /** After this time its request misses its latency objective. */
-  onTimeAt: Millis;
+  objectiveAt: Millis;
   /** Deadline: after this time its result is of no use. */
-  dueAt: Millis;
+  deadlineAt: Millis;
   /** The place of its inputs, or of the engine that will fetch its result. */
   place: string | undefined;
   resultBytes: number;
   /** Bytes transferred between places if it runs outside its own place. */
   movedBytes: number;
   /** Endpoints that already failed to run it. */
-  avoid: ReadonlySet<string>;
+  excluded: ReadonlySet<string>;
   /**
    * Whether it may share a call only with pieces of its own request. Set after
    * endpoints crashed during calls with it: in a call of its own it either
    * completes or is shown to be the cause.
    */
-  readonly isAlone?: boolean;
+  readonly isIsolated?: boolean;
 }
 
 /** The batcher's view of an endpoint. */
@@ -60,7 +60,7 @@
   /** Bytes of results that it stores or will store after its current calls. */
   readonly roomTaken: number;
   /** Observed latency relative to the expected latency; 1 is normal. */
-  readonly slowness: number;
+  readonly slowdown: number;
   /** Expected end of its calls in progress. */
   readonly freeAt: Millis;
 }
@@ -80,11 +80,11 @@
    * Removes and returns the pieces that would miss their deadline behind those
    * ahead of them, so that their callers learn it now and not at the deadline.
    */
-  dropLate(now: Millis, forecast: WaitForecast): P[];
+  dropInfeasible(now: Millis, forecast: WaitForecast): P[];
   /** Removes and returns the pieces of the next call, if one can start now. */
   planCall<E extends BatchEndpoint>(
     endpoints: readonly E[],
-    options: { now: Millis; isStrained: boolean },
+    options: { now: Millis; isBacklogged: boolean },
   ): PlannedCall<P, E> | undefined;
   /** Estimates the times until a new piece of this priority is in a call. */
   estimateWaits(
@@ -133,7 +133,7 @@
       const wait = isLate(piece, { now, spec })
         ? forecast.estimateLate(kept.length)
         : forecast.estimateOnTime(kept.length, piece.priority);
-      const isInfeasible = now + wait + callTime + pieceTime > piece.dueAt;
+      const isInfeasible = now + wait + callTime + pieceTime > piece.deadlineAt;
       (isInfeasible ? infeasible : kept).push(piece);
     }
     waiting = kept;
@@ -142,7 +142,7 @@
 
   function planCall<E extends BatchEndpoint>(
     endpoints: readonly E[],
-    { now, isStrained }: { now: Millis; isStrained: boolean },
+    { now, isBacklogged }: { now: Millis; isBacklogged: boolean },
   ): PlannedCall<P, E> | undefined {
     const spec = readSpec();
     const free = endpoints.filter(({ calls }) => calls < spec.slots);
@@ -163,7 +163,7 @@
       const pieces = choosePieces(first, {
         endpoint,
         mayWait,
-        isStrained,
+        isBacklogged,
         spec,
       });
       const chosen = new Set(pieces);
@@ -204,10 +204,10 @@
   ): E | undefined {
     const fitting = listFast(
       free.filter(({ info, roomTaken }) =>
-        !piece.avoid.has(info.id) &&
+        !piece.excluded.has(info.id) &&
         hasStorage(piece, {
           roomTaken,
-          storageLeft: spec.roomBytes - roomTaken,
+          storageLeft: spec.storageBytes - roomTaken,
         })
       ),
     );
@@ -221,10 +221,10 @@
    */
   function choosePieces(
     first: P,
-    { endpoint, mayWait, isStrained, spec }: {
+    { endpoint, mayWait, isBacklogged, spec }: {
       endpoint: BatchEndpoint;
       mayWait: (piece: P) => boolean;
-      isStrained: boolean;
+      isBacklogged: boolean;
       spec: BatchSpec;
     },
   ): P[] {
@@ -236,8 +236,8 @@
       for (const piece of pieces) {
         if (chosen.size >= spec.maxPieces) return;
         if (!mayShareCall(first, piece)) continue;
-        if (chosen.has(piece) || piece.avoid.has(endpoint.info.id)) continue;
-        const storageLeft = spec.roomBytes - roomTaken;
+        if (chosen.has(piece) || piece.excluded.has(endpoint.info.id)) continue;
+        const storageLeft = spec.storageBytes - roomTaken;
         const fits = startedGroups.has(piece.group)
           ? piece.resultBytes <= storageLeft
           : hasStorage(piece, { roomTaken, storageLeft });
@@ -249,7 +249,7 @@
     }
 
     addFitting(waiting.filter((piece) => !mayWait(piece)));
-    if (isStrained) addFitting(waiting);
+    if (isBacklogged) addFitting(waiting);
     return [...chosen];
   }
 
@@ -274,35 +274,35 @@
     },
     add,
     remove,
-    dropLate: dropInfeasible,
+    dropInfeasible,
     planCall,
     estimateWaits,
   };
 }
 
 function mayShareCall(first: WaitingPiece, other: WaitingPiece): boolean {
-  const isAnyIsolated = first.isAlone === true || other.isAlone === true;
+  const isAnyIsolated = first.isIsolated === true || other.isIsolated === true;
   return !isAnyIsolated || first.group === other.group;
 }
 
 /** Whether a call that starts now would miss the latency objective. */
 function isLate(
-  { onTimeAt }: WaitingPiece,
+  { objectiveAt }: WaitingPiece,
   { now, spec }: { now: Millis; spec: BatchSpec },
 ): boolean {
-  return now + spec.callTime + spec.pieceTime > onTimeAt;
+  return now + spec.callTime + spec.pieceTime > objectiveAt;
 }
 
 function comparePieces(a: WaitingPiece, b: WaitingPiece): number {
   const byStart = Number(b.group.started > 0) - Number(a.group.started > 0);
-  return a.priority - b.priority || byStart || a.onTimeAt - b.onTimeAt;
+  return a.priority - b.priority || byStart || a.objectiveAt - b.objectiveAt;
 }
 
 /** Excludes endpoints far slower than the fastest; never excludes all. */
 function listFast<E extends BatchEndpoint>(endpoints: readonly E[]): E[] {
-  const fastest = Math.min(...endpoints.map(({ slowness }) => slowness));
-  return endpoints.filter(({ slowness }) =>
-    slowness <= MAX_SLOWDOWN_FACTOR * fastest
+  const fastest = Math.min(...endpoints.map(({ slowdown }) => slowdown));
+  return endpoints.filter(({ slowdown }) =>
+    slowdown <= MAX_SLOWDOWN_FACTOR * fastest
   );
 }
 
--- a/packages/coordination/src/piece_batcher_replay_test.ts
+++ b/packages/coordination/src/piece_batcher_replay_test.ts
@@ -3,7 +3,7 @@
 import { MersenneTwister19937, Random } from "random-js";
 import type { BatchEndpoint, WaitingPiece } from "./piece_batcher.ts";
 import { createPieceBatcher } from "./piece_batcher.ts";
-import { createPieceFlow } from "./piece_rates.ts";
+import { createPieceRates } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /**
@@ -66,7 +66,7 @@
   const spec1 = load.isShared ? spec : { ...spec, maxPieces: load.pieces };
   const batcher = createPieceBatcher<Piece>(() => spec1);
   let time = 0;
-  const flow = createPieceFlow({ ...createFakeClock(0), now: () => time });
+  const flow = createPieceRates({ ...createFakeClock(0), now: () => time });
   const waitsOfDropped: number[] = [];
   const endpoints = Array.from(
     { length: load.endpoints },
@@ -101,12 +101,12 @@
         request,
         group,
         priority: className,
-        onTimeAt: now + load.onTime,
-        dueAt: now + load.due,
+        objectiveAt: now + load.onTime,
+        deadlineAt: now + load.due,
         place: undefined,
         resultBytes,
         movedBytes: 0,
-        avoid: new Set(),
+        excluded: new Set(),
       });
     }
   }
@@ -124,13 +124,13 @@
 
   function send(now: number): void {
     const forecast = flow.forecast(spec, endpoints.length);
-    for (const { request } of batcher.dropLate(now, forecast)) {
+    for (const { request } of batcher.dropInfeasible(now, forecast)) {
       waitsOfDropped.push(now - (arrivedAt.get(request) ?? 0));
     }
     for (;;) {
       const call = batcher.planCall(endpoints, {
         now,
-        isStrained: flow.isStrained(),
+        isBacklogged: flow.isBacklogged(),
       });
       if (call === undefined) break;
       const { endpoint, pieces } = call;
@@ -147,7 +147,7 @@
         endpoint.roomTaken -= pieces.length * resultBytes;
       });
     }
-    flow.noteQueue({
+    flow.recordQueue({
       waiting: batcher.size,
       isBusy: endpoints.every(({ calls }) => calls >= spec.slots),
       spec,
@@ -181,7 +181,7 @@
     address: id,
     state: "live",
   } as const;
-  return { info, calls: 0, roomTaken: 0, slowness: 1, freeAt: 0 };
+  return { info, calls: 0, roomTaken: 0, slowdown: 1, freeAt: 0 };
 }
 
 const readShare = ({ requested, onTime }: ClassResult) => onTime / requested;
@@ -196,7 +196,7 @@
     maxPieces: 6,
     callTime: 200,
     pieceTime: 28,
-    roomBytes: 13_500_000,
+    storageBytes: 13_500_000,
     resultLifetime: 4_000,
   },
   endpoints: 4,
@@ -219,7 +219,7 @@
     maxPieces: 12,
     callTime: 200,
     pieceTime: 14,
-    roomBytes: 1_628_571,
+    storageBytes: 1_628_571,
     resultLifetime: 4_000,
   },
   endpoints: 2,
@@ -239,7 +239,7 @@
     maxPieces: 7,
     callTime: 200,
     pieceTime: 24,
-    roomBytes: 1_050_000,
+    storageBytes: 1_050_000,
     resultLifetime: 4_000,
   },
   endpoints: 2,
--- a/packages/coordination/src/piece_batcher_test.ts
+++ b/packages/coordination/src/piece_batcher_test.ts
@@ -3,7 +3,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import type { BatchEndpoint, WaitingPiece } from "./piece_batcher.ts";
 import { createPieceBatcher } from "./piece_batcher.ts";
-import { createPieceFlow } from "./piece_rates.ts";
+import { createPieceRates } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 const SPEC: BatchSpec = {
@@ -11,7 +11,7 @@
   maxPieces: 4,
   callTime: 200,
   pieceTime: 25,
-  roomBytes: 1_000,
+  storageBytes: 1_000,
   resultLifetime: 4_000,
 };
 
@@ -27,12 +27,12 @@
     name,
     group: { started: 0 },
     priority: 1,
-    onTimeAt: 5_000,
-    dueAt: 10_000,
+    objectiveAt: 5_000,
+    deadlineAt: 10_000,
     place: undefined,
     resultBytes: 10,
     movedBytes: 0,
-    avoid: new Set(),
+    excluded: new Set(),
     ...change,
   };
 }
@@ -49,14 +49,14 @@
     address: id,
     state: "live",
   } as const;
-  return { info, calls: 0, roomTaken: 0, slowness: 1, freeAt: 0, ...change };
+  return { info, calls: 0, roomTaken: 0, slowdown: 1, freeAt: 0, ...change };
 }
 
-const AT_START = { now: 0, isStrained: false };
+const AT_START = { now: 0, isBacklogged: false };
 
 describe("piece batcher", () => {
   /** One endpoint without new arrivals: a call of four pieces takes 300 ms. */
-  const forecast = createPieceFlow(createFakeClock(0)).forecast(SPEC, 1);
+  const forecast = createPieceRates(createFakeClock(0)).forecast(SPEC, 1);
 
   function create(pieces: NamedPiece[]) {
     const batcher = createPieceBatcher<NamedPiece>(() => SPEC);
@@ -88,9 +88,9 @@
 
   it("orders by priority, then by the earliest objective", () => {
     const { plan } = create([
-      createPiece("late", { onTimeAt: 4_000 }),
-      createPiece("low", { priority: 2, onTimeAt: 1_000 }),
-      createPiece("soon", { onTimeAt: 2_000 }),
+      createPiece("late", { objectiveAt: 4_000 }),
+      createPiece("low", { priority: 2, objectiveAt: 1_000 }),
+      createPiece("soon", { objectiveAt: 2_000 }),
       createPiece("high", { priority: 0 }),
     ]);
     expect(plan(createEndpoint("e1"))?.pieces)
@@ -101,7 +101,7 @@
   // already. Served first, they would make all pieces behind them late as well.
   it("orders pieces that missed their objective last", () => {
     const { plan } = create([
-      createPiece("missed", { onTimeAt: 100 }),
+      createPiece("missed", { objectiveAt: 100 }),
       createPiece("low", { priority: 2 }),
       createPiece("high"),
     ]);
@@ -125,10 +125,10 @@
 
   it("finishes requests that have begun before it begins others", () => {
     const { plan } = create([
-      createPiece("new", { onTimeAt: 1_000 }),
+      createPiece("new", { objectiveAt: 1_000 }),
       createPiece("begun", {
         group: { started: 2 },
-        onTimeAt: 2_000,
+        objectiveAt: 2_000,
       }),
     ]);
     expect(plan(createEndpoint("e1"))?.pieces).to.equal("begun new");
@@ -155,17 +155,17 @@
   // although the others have capacity.
   it("skips an endpoint that is far slower than another free one", () => {
     const { plan } = create([createPiece("a", { place: "e1" })]);
-    const slow = createEndpoint("e1", { slowness: 4 });
+    const slow = createEndpoint("e1", { slowdown: 4 });
     expect(plan(slow, createEndpoint("e2"))?.endpoint).to.equal("e2");
     expect(create([createPiece("a")]).plan(slow)?.endpoint).to.equal("e1");
   });
 
   it("drops pieces that no call could complete in time", () => {
     const { batcher } = create([
-      createPiece("infeasible", { dueAt: 1_200 }),
-      createPiece("feasible", { dueAt: 1_225 }),
+      createPiece("infeasible", { deadlineAt: 1_200 }),
+      createPiece("feasible", { deadlineAt: 1_225 }),
     ]);
-    expect(batcher.dropLate(1_000, forecast).map(({ name }) => name))
+    expect(batcher.dropInfeasible(1_000, forecast).map(({ name }) => name))
       .to.deep.equal(["infeasible"]);
     expect(batcher.size).to.equal(1);
   });
@@ -176,25 +176,25 @@
   it("drops pieces at once that are too far back in the queue", () => {
     const names = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
     const { batcher } = create(
-      names.map((name) => createPiece(name, { dueAt: 700 })),
+      names.map((name) => createPiece(name, { deadlineAt: 700 })),
     );
-    expect(batcher.dropLate(0, forecast).map(({ name }) => name))
+    expect(batcher.dropInfeasible(0, forecast).map(({ name }) => name))
       .to.deep.equal(["h", "i"]);
-    expect(batcher.dropLate(0, forecast)).to.deep.equal([]);
+    expect(batcher.dropInfeasible(0, forecast)).to.deep.equal([]);
   });
 
   // Results of megabytes would be transferred between places although the next
   // call of an endpoint in the same place starts in a quarter of a second.
   it("waits for an endpoint in the same place with large results, if there is time", () => {
     const large = { place: "e1", resultBytes: 600_000, movedBytes: 600_000 };
-    const spec = { ...SPEC, roomBytes: 10_000_000 };
+    const spec = { ...SPEC, storageBytes: 10_000_000 };
     const endpoints = [
       createEndpoint("e1", { calls: 1, freeAt: 250 }),
       createEndpoint("e2"),
     ];
     const plan = (onTimeAt: number) => {
       const batcher = createPieceBatcher<NamedPiece>(() => spec);
-      batcher.add(createPiece("a", { ...large, onTimeAt }));
+      batcher.add(createPiece("a", { ...large, objectiveAt: onTimeAt }));
       return batcher.planCall(endpoints, AT_START)?.endpoint.info.id;
     };
     expect(plan(600)).to.equal(undefined);
@@ -209,7 +209,7 @@
     const { plan } = create([
       createPiece("near", { ...moved, place: "e1" }),
       createPiece("far", { ...moved, place: "e2" }),
-      createPiece("far urgent", { ...moved, place: "e2", onTimeAt: 500 }),
+      createPiece("far urgent", { ...moved, place: "e2", objectiveAt: 500 }),
       createPiece("far small", { place: "e2" }),
     ]);
     const busy = createEndpoint("e2", { calls: 1, freeAt: 250 });
@@ -227,7 +227,7 @@
         createPiece(`p${index}`, {
           place: "e1",
           movedBytes: 600_000,
-          onTimeAt: 1_000,
+          objectiveAt: 1_000,
         }),
     );
     const { plan } = create(pieces);
@@ -241,13 +241,15 @@
   it("fills calls with pieces of all places under a backlog", () => {
     const batcher = createPieceBatcher<NamedPiece>(() => SPEC);
     const moved = { movedBytes: 600_000 };
-    batcher.add(createPiece("far", { ...moved, place: "e2", onTimeAt: 2_000 }));
+    batcher.add(
+      createPiece("far", { ...moved, place: "e2", objectiveAt: 2_000 }),
+    );
     batcher.add(createPiece("near", { ...moved, place: "e1" }));
     const endpoints = [
       createEndpoint("e1"),
       createEndpoint("e2", { calls: 1 }),
     ];
-    const call = batcher.planCall(endpoints, { now: 0, isStrained: true });
+    const call = batcher.planCall(endpoints, { now: 0, isBacklogged: true });
     expect(call?.pieces.map(({ name }) => name))
       .to.deep.equal(["near", "far"]);
   });
@@ -256,7 +258,7 @@
     const pieces = fc.array(
       fc.record({
         priority: fc.nat(2),
-        dueAt: fc.nat(5_000),
+        deadlineAt: fc.nat(5_000),
         resultBytes: fc.nat(700),
       }),
       { maxLength: 30 },
@@ -272,7 +274,7 @@
         if (call === undefined) break;
         const bytes = call.pieces
           .reduce((sum, { resultBytes }) => sum + resultBytes, 0);
-        expect(bytes).to.be.at.most(SPEC.roomBytes);
+        expect(bytes).to.be.at.most(SPEC.storageBytes);
         expect(call.pieces.length).to.be.within(1, SPEC.maxPieces);
         sent.push(...call.pieces.map(({ name }) => name));
       }
--- a/packages/coordination/src/piece_rates.ts
+++ b/packages/coordination/src/piece_rates.ts
@@ -55,9 +55,9 @@
   /** Records that pieces were sent in a call. */
   recordCall(pieces: number): void;
   /** Records the state of the queue. */
-  noteQueue(queue: PieceQueueState): void;
+  recordQueue(queue: PieceQueueState): void;
   /** Whether there has been a backlog for some time. */
-  isStrained(): boolean;
+  isBacklogged(): boolean;
   forecast(spec: BatchSpec, endpointCount: number): WaitForecast;
 }
 
@@ -99,7 +99,7 @@
 }
 
 /** Creates the rates of a pool without arrivals. */
-export function createPieceFlow(clock: Clock): PieceRates {
+export function createPieceRates(clock: Clock): PieceRates {
   const arrivals = new Map<number, ArrivalRates>();
   const callRate = createEventRate(clock);
   const startedAt = clock.now();
@@ -200,11 +200,11 @@
       longTerm.record(pieces);
     },
     recordCall: (pieces) => callRate.record(pieces),
-    noteQueue(queue) {
+    recordQueue(queue) {
       if (!isQueueLong(queue)) backlogSince = undefined;
       else backlogSince ??= clock.now();
     },
-    isStrained: isBacklogged,
+    isBacklogged,
     forecast,
   };
 }
--- a/packages/coordination/src/piece_rates_test.ts
+++ b/packages/coordination/src/piece_rates_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createPieceFlow } from "./piece_rates.ts";
+import { createPieceRates } from "./piece_rates.ts";
 import type { BatchSpec } from "./serving_config.ts";
 
 /** One endpoint serves 10 pieces a second. */
@@ -9,14 +9,14 @@
   maxPieces: 4,
   callTime: 200,
   pieceTime: 50,
-  roomBytes: 1_000,
+  storageBytes: 1_000,
   resultLifetime: 4_000,
 };
 
 describe("flow of pieces", () => {
   function create() {
     const clock = createFakeClock(0);
-    const flow = createPieceFlow(clock);
+    const flow = createPieceRates(clock);
     /** Runs a load for twenty seconds, in steps of 100 ms. */
     const runLoad = async (
       { arrivals, calls, waiting }: {
@@ -30,7 +30,7 @@
           flow.recordArrival(priority, pieces)
         );
         flow.recordCall(calls);
-        flow.noteQueue({
+        flow.recordQueue({
           waiting,
           isBusy: waiting > 0,
           spec: SPEC,
@@ -82,7 +82,7 @@
   it("does not treat a pool with half-full calls as overloaded", async () => {
     const { flow, runLoad, forecast } = create();
     await runLoad({ arrivals: [], calls: 1, waiting: 3 });
-    expect(flow.isStrained()).to.equal(false);
+    expect(flow.isBacklogged()).to.equal(false);
     expect(forecast().estimateLate(10)).to.equal(500);
   });
 
--- a/packages/coordination/src/place_evacuation.ts
+++ b/packages/coordination/src/place_evacuation.ts
@@ -23,11 +23,11 @@
   /** Replaces all marks with those of a full read. */
   replaceAll(places: readonly string[]): void;
   markEvacuated(place: string): void;
-  takeBack(place: string): void;
+  clearEvacuated(place: string): void;
   /**
    * Handles a restore of the store: the next full read may lack valid marks.
    */
-  noteRestored(): void;
+  handleStoreRestored(): void;
   isEvacuated(place: string): boolean;
   /**
    * Whether the endpoints of a place may be cold without having reported it
@@ -108,8 +108,8 @@
   return {
     replaceAll,
     markEvacuated,
-    takeBack: clearEvacuated,
-    noteRestored() {
+    clearEvacuated,
+    handleStoreRestored() {
       isRestored = true;
     },
     isEvacuated: (place) => evacuated.has(place),
--- a/packages/coordination/src/place_evacuation_test.ts
+++ b/packages/coordination/src/place_evacuation_test.ts
@@ -19,8 +19,8 @@
     evacuation.markEvacuated("a");
     expect(evacuation.isEvacuated("a")).to.equal(true);
     expect(evacuation.isEvacuated("b")).to.equal(false);
-    evacuation.takeBack("a");
-    evacuation.takeBack("b");
+    evacuation.clearEvacuated("a");
+    evacuation.clearEvacuated("b");
     expect(evacuation.isEvacuated("a")).to.equal(false);
     expect(changes).to.deep.equal(["a evacuated", "a returned"]);
   });
@@ -39,7 +39,7 @@
     const { clock, evacuation } = create();
     evacuation.markEvacuated("a");
     expect(evacuation.isReturning("a")).to.equal(false);
-    evacuation.takeBack("a");
+    evacuation.clearEvacuated("a");
     expect(evacuation.isReturning("a")).to.equal(true);
     await clock.advance(3_100);
     expect(evacuation.isReturning("a")).to.equal(false);
@@ -51,7 +51,7 @@
   it("keeps its marks when the store is restored from an older copy", async () => {
     const { clock, evacuation, changes } = create();
     evacuation.markEvacuated("a");
-    evacuation.noteRestored();
+    evacuation.handleStoreRestored();
     evacuation.replaceAll([]);
     await clock.advance(4_000);
     expect(evacuation.isEvacuated("a")).to.equal(true);
@@ -64,7 +64,7 @@
   it("removes a mark that is not written again", async () => {
     const { clock, evacuation } = create();
     evacuation.markEvacuated("a");
-    evacuation.noteRestored();
+    evacuation.handleStoreRestored();
     evacuation.replaceAll([]);
     // Further reads of the restored store must not extend the mark.
     await clock.advance(1_000);
--- a/packages/coordination/src/placement.ts
+++ b/packages/coordination/src/placement.ts
@@ -19,7 +19,7 @@
 }
 
 /** The models that an engine has loaded, by its own report. */
-export interface EngineHolding {
+export interface EngineInventory {
   endpointKey: string;
   models: { name: string; version: string; adapters: string[] }[];
 }
@@ -36,7 +36,7 @@
 /** Options of {@linkcode planPlacement}. */
 export interface PlacementOptions {
   models: readonly PlacedModel[];
-  engines: readonly EngineHolding[];
+  engines: readonly EngineInventory[];
   demand: ModelDemand;
   /** Number of models that one engine can load at a time. */
   modelsPerEngine: number;
@@ -131,13 +131,13 @@
 }
 
 function rankEngines(
-  engines: readonly EngineHolding[],
+  engines: readonly EngineInventory[],
   { model, plans }: {
     model: PlacedModel;
     plans: ReadonlyMap<string, PlacedModel[]>;
   },
-): EngineHolding[] {
-  const rank = ({ endpointKey, models }: EngineHolding) => {
+): EngineInventory[] {
+  const rank = ({ endpointKey, models }: EngineInventory) => {
     const isLoaded = models.some(({ name }) => name === model.name);
     const planned = plans.get(endpointKey)?.length ?? 0;
     return (isLoaded ? 0 : 1_000) + planned;
--- a/packages/coordination/src/placement_test.ts
+++ b/packages/coordination/src/placement_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { EngineHolding, PlacedModel } from "./placement.ts";
+import type { EngineInventory, PlacedModel } from "./placement.ts";
 import { createDemandTracker, planPlacement } from "./placement.ts";
 
 const model = (name: string, minEngines = 1): PlacedModel => ({
@@ -10,13 +10,16 @@
   minEngines,
 });
 
-function createEngine(endpointKey: string, ...names: string[]): EngineHolding {
+function createEngine(
+  endpointKey: string,
+  ...names: string[]
+): EngineInventory {
   const models = names.map((name) => ({ name, version: "1", adapters: [] }));
   return { endpointKey, models };
 }
 
 function plan(
-  engines: EngineHolding[],
+  engines: EngineInventory[],
   demand: [string, number][],
   models = [model("a"), model("b")],
 ) {
--- a/packages/coordination/src/poison_quarantine.ts
+++ b/packages/coordination/src/poison_quarantine.ts
@@ -16,7 +16,7 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 
 /** A run during which its endpoint crashed. */
-export interface EndedRun {
+export interface CrashedRun {
   /** From `computeContentDigest`. */
   content: string;
   endpointKey: string;
@@ -47,19 +47,19 @@
   /** Whether nothing is suspected, so that no digest needs to be computed. */
   isEmpty(): boolean;
   /** Records a crash; returns the quarantine that it starts, if any. */
-  noteEnded(run: EndedRun): QuarantinedContent | undefined;
+  recordCrash(run: CrashedRun): QuarantinedContent | undefined;
   /** Clears a content; returns whether it was suspected or quarantined. */
-  noteCompleted(content: string): boolean;
+  recordCompletion(content: string): boolean;
   /** Merges a quarantine of a peer; returns whether it is new here. */
-  adopt(quarantined: QuarantinedContent): boolean;
+  mergeQuarantined(quarantined: QuarantinedContent): boolean;
   /** Merges a suspicion of a peer, so that a completion here is published. */
-  noteSuspected(suspected: SuspectedContent): void;
+  recordSuspected(suspected: SuspectedContent): void;
   /** Accepts a content again; its next crash quarantines it for longer. */
   release(content: string): void;
   /** Returns how long a content is still quarantined; 0 if it is accepted. */
   readTimeLeft(content: string): Millis;
   /** Releases the contents whose quarantine has expired, and returns them. */
-  releaseLapsed(): string[];
+  releaseExpired(): string[];
   /** Returns recent quarantines to send to peers, newest first. */
   chooseQuarantined(limit: number): QuarantinedContent[];
   /** Returns recent suspicions to send to peers, newest first. */
@@ -151,7 +151,7 @@
     );
   }
 
-  function isSimultaneous(last: Crash | undefined, run: EndedRun): boolean {
+  function isSimultaneous(last: Crash | undefined, run: CrashedRun): boolean {
     if (last === undefined) return false;
     const now = clock.now();
     return now - run.sentAgo < last.at &&
@@ -171,7 +171,7 @@
     }
   }
 
-  function recordCrash(run: EndedRun): QuarantinedContent | undefined {
+  function recordCrash(run: CrashedRun): QuarantinedContent | undefined {
     const { content, endpointKey, endedAgo } = run;
     const now = clock.now();
     if (isAttributed(endpointKey)) return undefined;
@@ -290,10 +290,10 @@
 
   return {
     isEmpty: () => known.size === 0,
-    noteEnded: recordCrash,
-    noteCompleted: recordCompletion,
-    adopt: mergeQuarantined,
-    noteSuspected({ content, age }) {
+    recordCrash,
+    recordCompletion,
+    mergeQuarantined,
+    recordSuspected({ content, age }) {
       if (known.get(content)?.quarantinedAt !== undefined) return;
       const suspect = keep(content);
       const now = clock.now();
@@ -302,7 +302,7 @@
     },
     release,
     readTimeLeft,
-    releaseLapsed: releaseExpired,
+    releaseExpired,
     chooseQuarantined: (limit) =>
       listNewestFirst().flatMap(
         ([content, { quarantinedAt, ends, term }]) => {
--- a/packages/coordination/src/poison_quarantine_test.ts
+++ b/packages/coordination/src/poison_quarantine_test.ts
@@ -1,12 +1,12 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { EndedRun } from "./poison_quarantine.ts";
+import type { CrashedRun } from "./poison_quarantine.ts";
 import { createPoisonQuarantine } from "./poison_quarantine.ts";
 
 const MINUTE = 60_000;
 
 describe("the quarantine of contents", () => {
-  function createRun(endpointKey: string, content = "c"): EndedRun {
+  function createRun(endpointKey: string, content = "c"): CrashedRun {
     return { content, endpointKey, sentAgo: 100, endedAgo: 0 };
   }
 
@@ -15,7 +15,7 @@
     const quarantine = createPoisonQuarantine(clock);
     for (const endpointKey of ["e1", "e2", "e3"]) {
       await clock.advance(1_000);
-      quarantine.noteEnded(createRun(endpointKey, content));
+      quarantine.recordCrash(createRun(endpointKey, content));
     }
     return { clock, quarantine };
   }
@@ -26,7 +26,7 @@
     const found: boolean[] = [];
     for (const endpointKey of ["e1", "e1", "e2", "e2", "e3"]) {
       await clock.advance(1_000);
-      found.push(quarantine.noteEnded(createRun(endpointKey)) !== undefined);
+      found.push(quarantine.recordCrash(createRun(endpointKey)) !== undefined);
     }
     expect(found).to.deep.equal([false, false, false, false, true]);
     expect(quarantine.readTimeLeft("c")).to.equal(10 * MINUTE);
@@ -37,7 +37,7 @@
     const clock = createFakeClock(1_000);
     const quarantine = createPoisonQuarantine(clock);
     for (const endpointKey of ["e1", "e2", "e3", "e4"]) {
-      quarantine.noteEnded(createRun(endpointKey));
+      quarantine.recordCrash(createRun(endpointKey));
       await clock.advance(20);
     }
     expect(quarantine.readTimeLeft("c")).to.equal(0);
@@ -48,7 +48,7 @@
     const quarantine = createPoisonQuarantine(clock);
     for (const endpointKey of ["e1", "e2", "e3", "e4"]) {
       await clock.advance(6 * MINUTE);
-      quarantine.noteEnded(createRun(endpointKey));
+      quarantine.recordCrash(createRun(endpointKey));
     }
     expect(quarantine.readTimeLeft("c")).to.equal(0);
   });
@@ -58,9 +58,9 @@
     const terms: number[] = [];
     for (const endpointKey of ["e4", "e5"]) {
       await clock.advance(quarantine.readTimeLeft("c"));
-      expect(quarantine.releaseLapsed()).to.deep.equal(["c"]);
+      expect(quarantine.releaseExpired()).to.deep.equal(["c"]);
       expect(quarantine.readTimeLeft("c")).to.equal(0);
-      quarantine.noteEnded(createRun(endpointKey));
+      quarantine.recordCrash(createRun(endpointKey));
       terms.push(quarantine.readTimeLeft("c"));
     }
     expect(terms).to.deep.equal([20 * MINUTE, 40 * MINUTE]);
@@ -69,12 +69,12 @@
   it("clears a content that has completed, whatever the evidence", async () => {
     const { clock, quarantine } = await crashThree();
     const [reported] = quarantine.chooseQuarantined(8);
-    expect(quarantine.noteCompleted("c")).to.equal(true);
-    expect(quarantine.noteCompleted("c")).to.equal(false);
+    expect(quarantine.recordCompletion("c")).to.equal(true);
+    expect(quarantine.recordCompletion("c")).to.equal(false);
     // A stale record of a peer must not restore the quarantine.
-    expect(quarantine.adopt(reported!)).to.equal(false);
+    expect(quarantine.mergeQuarantined(reported!)).to.equal(false);
     await clock.advance(1_000);
-    quarantine.noteEnded(createRun("e9"));
+    quarantine.recordCrash(createRun("e9"));
     expect(quarantine.readTimeLeft("c")).to.equal(0);
   });
 
@@ -82,27 +82,27 @@
     const { clock, quarantine } = await crashThree();
     for (const endpointKey of ["e1", "e2", "e3"]) {
       await clock.advance(1_000);
-      quarantine.noteEnded(createRun(endpointKey, "beside"));
+      quarantine.recordCrash(createRun(endpointKey, "beside"));
     }
     expect(quarantine.readTimeLeft("beside")).to.equal(0);
   });
 
   it("is empty again once everything is over", async () => {
     const { clock, quarantine } = await crashThree();
-    quarantine.noteCompleted("c");
+    quarantine.recordCompletion("c");
     await clock.advance(2 * MINUTE);
-    quarantine.releaseLapsed();
+    quarantine.releaseExpired();
     expect(quarantine.isEmpty()).to.equal(true);
   });
 
   it("evicts the oldest suspects, never quarantined contents", async () => {
     const { clock, quarantine } = await crashThree();
     for (let number = 0; number < 3_000; number++) {
-      quarantine.noteEnded(createRun(`e-${number}`, `c-${number}`));
+      quarantine.recordCrash(createRun(`e-${number}`, `c-${number}`));
     }
     await clock.advance(1);
     expect(quarantine.readTimeLeft("c")).to.be.greaterThan(0);
-    expect(quarantine.noteCompleted("c-0")).to.equal(false);
-    expect(quarantine.noteCompleted("c-2999")).to.equal(true);
+    expect(quarantine.recordCompletion("c-0")).to.equal(false);
+    expect(quarantine.recordCompletion("c-2999")).to.equal(true);
   });
 });
--- a/packages/coordination/src/pool_partition.ts
+++ b/packages/coordination/src/pool_partition.ts
@@ -14,8 +14,8 @@
 import { sampleItems } from "./draw.ts";
 import type { EndpointInfo } from "./endpoint.ts";
 import type { PeerRecord } from "./membership.ts";
-import { listByRendezvous, listNearFirst } from "./rendezvous.ts";
-import { listStrong } from "./high_capacity_members.ts";
+import { listByRendezvous, listLocalFirst } from "./rendezvous.ts";
+import { listHighCapacity } from "./high_capacity_members.ts";
 
 /**
  * Minimum average number of endpoints per place for a pool to be partitioned: a
@@ -72,7 +72,7 @@
   return local.length > 0 ? local : endpoints;
 }
 
-/** Options of {@linkcode chooseOverflow}. */
+/** Options of {@linkcode chooseOverflowPartition}. */
 export interface OverflowOptions {
   others: readonly string[];
   /**
@@ -85,7 +85,7 @@
 /**
  * Chooses the partition for a piece: `home`, unless its wait is much longer.
  */
-export function chooseOverflow(
+export function chooseOverflowPartition(
   home: string,
   { others, readWait, random }: OverflowOptions,
 ): string {
@@ -103,16 +103,16 @@
  * all entries agree: those with a high capacity, and among these the ones of
  * its place first, so that its messages stay within the place.
  */
-export function listFeederOrder(
+export function listDispatcherOrder(
   members: readonly PeerRecord[],
   { pool, partition }: { pool: string; partition: string },
 ): PeerRecord[] {
   const ranked = listByRendezvous(
-    listStrong(members, ({ capacity }) => capacity),
+    listHighCapacity(members, ({ capacity }) => capacity),
     {
       key: partition === UNPARTITIONED ? pool : `${pool}/${partition}`,
       readName: ({ entry }) => entry,
     },
   );
-  return listNearFirst(ranked, partition);
+  return listLocalFirst(ranked, partition);
 }
--- a/packages/coordination/src/pool_partition_test.ts
+++ b/packages/coordination/src/pool_partition_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { MersenneTwister19937, Random } from "random-js";
 import {
-  chooseOverflow,
+  chooseOverflowPartition,
   choosePartition,
   listPartitionEndpoints,
   listPartitions,
@@ -83,7 +83,7 @@
       ]);
       const seen = new Set(
         Array.from({ length: 60 }, () =>
-          chooseOverflow("h", {
+          chooseOverflowPartition("h", {
             others: others.map((_, index) => String(index)),
             readWait: (partition) => waits.get(partition),
             random: () => random.realZeroToOneExclusive(),
--- a/packages/coordination/src/prefix_affinity.ts
+++ b/packages/coordination/src/prefix_affinity.ts
@@ -20,7 +20,7 @@
   /** Applies events of one engine, in the order in which they were read. */
   applyEvents(endpointKey: string, events: readonly CacheEvent[]): void;
   /** Records that a prompt with this prefix was just sent to an engine. */
-  noteSent(endpointKey: string, prefix: string): void;
+  recordSent(endpointKey: string, prefix: string): void;
   /** Returns the confidence that an engine has cached a prefix, from 0 to 1. */
   estimate(endpointKey: string, prefix: string): number;
 }
@@ -97,7 +97,7 @@
 
   return {
     applyEvents,
-    noteSent: (endpointKey, prefix) => store(find(endpointKey), prefix),
+    recordSent: (endpointKey, prefix) => store(find(endpointKey), prefix),
     estimate,
   };
 }
--- a/packages/coordination/src/prefix_affinity_test.ts
+++ b/packages/coordination/src/prefix_affinity_test.ts
@@ -12,7 +12,7 @@
     expect(affinity.estimate("e1", "a")).to.equal(1);
     affinity.applyEvents("e1", [stored(5, "b")]);
     expect(affinity.estimate("e1", "a")).to.equal(0.5);
-    affinity.noteSent("e1", "c");
+    affinity.recordSent("e1", "c");
     expect(affinity.estimate("e1", "a")).to.equal(0);
     affinity.applyEvents("e1", [{ sequence: 6, kind: "evicted", prefix: "b" }]);
     expect(affinity.estimate("e1", "b")).to.equal(0);
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -23,7 +23,7 @@
 }
 
 /** Lists the members of a place first, as traffic between places has a cost. */
-export function listNearFirst<T extends { place: string }>(
+export function listLocalFirst<T extends { place: string }>(
   members: readonly T[],
   localPlace: string,
 ): T[] {
--- a/packages/coordination/src/retry_budget.ts
+++ b/packages/coordination/src/retry_budget.ts
@@ -21,12 +21,12 @@
   /** Maximum balance; also the initial one. */
   max: number;
   /** Returns this process's part of `max` if several processes share it. */
-  readPart?: () => number;
+  readShare?: () => number;
 }
 
 /** Creates a full budget. */
 export function createRetryBudget(
-  { share, max, readPart = () => 1 }: RetryBudgetOptions,
+  { share, max, readShare: readPart = () => 1 }: RetryBudgetOptions,
 ): RetryBudget {
   let balance = max * readPart();
   return {
--- a/packages/coordination/src/routing.ts
+++ b/packages/coordination/src/routing.ts
@@ -13,7 +13,7 @@
   /** This entry's requests in progress there. */
   readonly inFlight: number;
   /** Observed latency relative to the expected latency; 1 is normal. */
-  readonly slowness: number;
+  readonly slowdown: number;
   readonly report: LoadReport | undefined;
   /** This entry's requests in progress there when the report was taken. */
   readonly inFlightAtReport: number;
@@ -57,7 +57,7 @@
     const occupancy = view.inFlight / slots;
     const place = view.info.place === ownPlace ? 0 : OTHER_PLACE_COST;
     const saved = request.affinity?.(view.info) ?? 0;
-    return view.slowness * (1 + occupancy) + place - saved;
+    return view.slowdown * (1 + occupancy) + place - saved;
   }
 
   return (candidates, request) =>
--- a/packages/coordination/src/routing_test.ts
+++ b/packages/coordination/src/routing_test.ts
@@ -16,7 +16,7 @@
     return {
       info,
       inFlight: 0,
-      slowness: 1,
+      slowdown: 1,
       report: undefined,
       inFlightAtReport: 0,
       ...change,
@@ -37,7 +37,7 @@
 
   const CASES = [
     { name: "the less busy one", a: view("a", { inFlight: 6 }), b: view("b") },
-    { name: "the faster one", a: view("a", { slowness: 3 }), b: view("b") },
+    { name: "the faster one", a: view("a", { slowdown: 3 }), b: view("b") },
     {
       // Every entry reads the same delayed report. If they used it, all would
       // send to one endpoint until the next report, and then to another.
--- a/packages/coordination/src/send_allowance.ts
+++ b/packages/coordination/src/send_allowance.ts
@@ -14,9 +14,9 @@
 /** The requests that this entry may send. */
 export interface SendAllowance {
   /** Whether this entry may send a request to an endpoint now. */
-  mayBegin(endpoint: EndpointInfo): boolean;
+  maySend(endpoint: EndpointInfo): boolean;
   /** Counts a request that is sent to an endpoint. */
-  begin(endpoint: EndpointInfo): void;
+  recordSend(endpoint: EndpointInfo): void;
   /**
    * Returns the time until an endpoint accepts a request from this entry, by
    * its own limit and pause: 0 for now, `Infinity` if it accepts none at
@@ -28,9 +28,9 @@
    */
   readShortestWait(endpoints: readonly EndpointInfo[]): Millis;
   /** Whether an endpoint has published a limit or asked for a pause. */
-  isHeldBack(endpoint: EndpointInfo): boolean;
+  isThrottled(endpoint: EndpointInfo): boolean;
   /** Whether the endpoint's limit is old and should be confirmed. */
-  isAskDue(endpoint: EndpointInfo): boolean;
+  isProbeDue(endpoint: EndpointInfo): boolean;
 }
 
 /** Options of {@linkcode createSendAllowance}. */
@@ -54,18 +54,18 @@
   }
 
   return {
-    mayBegin: (endpoint) => readWait(endpoint) === 0 && cold.maySend(endpoint),
-    begin(endpoint) {
+    maySend: (endpoint) => readWait(endpoint) === 0 && cold.maySend(endpoint),
+    recordSend(endpoint) {
       cold.recordSend(endpoint);
       limited.recordSend(endpoint);
     },
     readWait,
     readShortestWait: (endpoints) =>
       Math.min(Infinity, ...endpoints.map(readWait)),
-    isHeldBack: (endpoint) =>
+    isThrottled: (endpoint) =>
       readPause(endpoint) > 0 || !limits.isEmpty() &&
         limits.find(formatEndpointKey(endpoint)) !== undefined,
-    isAskDue: (endpoint) =>
+    isProbeDue: (endpoint) =>
       !limits.isEmpty() && limits.isStale(formatEndpointKey(endpoint)),
   };
 }
--- a/packages/coordination/src/sender_rank.ts
+++ b/packages/coordination/src/sender_rank.ts
@@ -63,7 +63,7 @@
 }
 
 /** Returns entries in the rendezvous order of an endpoint. */
-export function listSendersFor(
+export function rankSenders(
   entries: readonly string[],
   endpoint: EndpointInfo,
 ): string[] {
--- a/packages/coordination/src/serving_config.ts
+++ b/packages/coordination/src/serving_config.ts
@@ -62,7 +62,7 @@
   /** Approximate additional time of each piece. */
   pieceTime: Millis;
   /** Memory for results at one endpoint, in bytes. */
-  roomBytes: number;
+  storageBytes: number;
   /** How long an endpoint keeps a result that is not freed. */
   resultLifetime: Millis;
 }
--- a/packages/coordination/src/stage_plan.ts
+++ b/packages/coordination/src/stage_plan.ts
@@ -16,9 +16,9 @@
 /** The schedule of one stage in its request. */
 export interface PlannedStage {
   /** Stages that must complete before this one starts. */
-  waitsFor: readonly number[];
+  dependencies: readonly number[];
   /** Time from the end of this stage to the end of the last one. */
-  timeBehind: Millis;
+  downstreamTime: Millis;
 }
 
 /**
@@ -66,7 +66,7 @@
       readLatestEnd(other) <= readLatestStart(number) + MAX_ADDED_DELAY
     );
     const dependencies = [...new Set([...after, ...earlier])];
-    return { waitsFor: dependencies, timeBehind: computeDownstream(number) };
+    return { dependencies, downstreamTime: computeDownstream(number) };
   });
 }
 
@@ -78,8 +78,8 @@
   durations: readonly Millis[],
 ): Millis {
   const plan = planStages(stages, durations);
-  const times = plan.map(({ timeBehind }, number) =>
-    (durations[number] ?? 0) + timeBehind
+  const times = plan.map(({ downstreamTime }, number) =>
+    (durations[number] ?? 0) + downstreamTime
   );
   return Math.max(0, ...times);
 }
--- a/packages/coordination/src/stage_plan_test.ts
+++ b/packages/coordination/src/stage_plan_test.ts
@@ -12,9 +12,9 @@
       [200, 300, 400],
     );
     expect(plan).to.deep.equal([
-      { waitsFor: [], timeBehind: 700 },
-      { waitsFor: [0], timeBehind: 400 },
-      { waitsFor: [1, 0], timeBehind: 0 },
+      { dependencies: [], downstreamTime: 700 },
+      { dependencies: [0], downstreamTime: 400 },
+      { dependencies: [1, 0], downstreamTime: 0 },
     ]);
   });
 
@@ -26,9 +26,9 @@
       [createStage(), createStage(), createStage(1), createStage(2)],
       [270, 220, 280, 280],
     );
-    expect(plan[0]?.waitsFor).to.have.members([1, 2]);
-    expect(plan[3]?.waitsFor).to.have.members([1, 2]);
-    expect(plan[1]?.waitsFor).to.deep.equal([]);
+    expect(plan[0]?.dependencies).to.have.members([1, 2]);
+    expect(plan[3]?.dependencies).to.have.members([1, 2]);
+    expect(plan[1]?.dependencies).to.deep.equal([]);
   });
 
   it("starts a stage earlier if it takes longer than the chain's last stage", () => {
@@ -36,11 +36,14 @@
       [createStage(), createStage(), createStage(1), createStage(2)],
       [500, 220, 280, 280],
     );
-    expect(plan[0]?.waitsFor).to.deep.equal([1]);
+    expect(plan[0]?.dependencies).to.deep.equal([1]);
   });
 
   it("creates no circular dependencies", () => {
     const plan = planStages([createStage(), createStage()], [200, 200]);
-    expect(plan.map(({ waitsFor }) => waitsFor)).to.deep.equal([[], []]);
+    expect(plan.map(({ dependencies }) => dependencies)).to.deep.equal([
+      [],
+      [],
+    ]);
   });
 });
--- a/packages/coordination/src/stage_pool.ts
+++ b/packages/coordination/src/stage_pool.ts
@@ -32,13 +32,13 @@
   size: number;
   deadline: Deadline;
   /** Minimum time of the stages after this one. */
-  reserve: Millis;
+  reservedTime: Millis;
   /** Returns the share of one service time that a cached prefix saves there. */
   affinity?: (endpoint: EndpointInfo) => number;
 }
 
 /** How an attempt at an endpoint ended. */
-export type AttemptEnd =
+export type AttemptOutcome =
   | "done"
   | "unreachable"
   | "failing"
@@ -56,7 +56,7 @@
   /**
    * Ends the attempt; `pause` is the time for which the endpoint refuses work.
    */
-  release(end: AttemptEnd, pause?: Millis): void;
+  release(end: AttemptOutcome, pause?: Millis): void;
 }
 
 /** The pool's policy; benchmarks pass in baselines for comparison. */
@@ -78,7 +78,10 @@
   /**
    * Limits what is sent to endpoints that ask for less; unlimited if omitted.
    */
-  allowance?: Pick<SendAllowance, "mayBegin" | "begin" | "readShortestWait">;
+  allowance?: Pick<
+    SendAllowance,
+    "maySend" | "recordSend" | "readShortestWait"
+  >;
   /** Called when an endpoint refuses work for some time. */
   onPause?: (endpoint: EndpointInfo, pause: Millis) => void;
 }
@@ -132,7 +135,7 @@
   inFlightAtReport: number;
   limit: ConcurrencyLimit;
   health: EndpointHealth;
-  readonly slowness: number;
+  readonly slowdown: number;
 }
 
 interface Waiter extends PoolWork {
@@ -216,7 +219,7 @@
         max: MAX_LIMIT,
       }),
       health,
-      get slowness() {
+      get slowdown() {
         return health.slowdown;
       },
     };
@@ -237,7 +240,7 @@
   ): Slot[] {
     return listHealthy().filter((slot) =>
       !excluded.includes(slot.info) &&
-      (allowance?.mayBegin(slot.info) ?? true) &&
+      (allowance?.maySend(slot.info) ?? true) &&
       (!policy.hasLimits ||
         slot.inFlight < readLimit(slot, workClass.priority))
     );
@@ -276,7 +279,7 @@
     recordGrant(work.workClass);
     slot.inFlight++;
     inFlight++;
-    allowance?.begin(slot.info);
+    allowance?.recordSend(slot.info);
     inProgress.set(work.account, (inProgress.get(work.account) ?? 0) + 1);
 
     function recordLatency(latency: Millis): void {
@@ -289,7 +292,7 @@
       slot.health.recordSuccess(ratio);
     }
 
-    function release(end: AttemptEnd, pause?: Millis): void {
+    function release(end: AttemptOutcome, pause?: Millis): void {
       if (isReleased) return;
       isReleased = true;
       if (pause !== undefined) onPause?.(slot.info, pause);
@@ -326,7 +329,7 @@
   function recordOutcome(
     slot: Slot,
     { end, size, duration }: {
-      end: AttemptEnd;
+      end: AttemptOutcome;
       size: number;
       duration: Millis;
     },
@@ -404,8 +407,9 @@
   }
 
   /** Returns how long work may wait and still meet its deadline. */
-  function computeMaxWait({ deadline, reserve, size }: PoolWork): Millis {
-    return deadline.remaining() - reserve - latencies.estimateUnloaded(size);
+  function computeMaxWait({ deadline, reservedTime, size }: PoolWork): Millis {
+    return deadline.remaining() - reservedTime -
+      latencies.estimateUnloaded(size);
   }
 
   /** Names the wait of this entry; other entries may be able to call sooner. */
@@ -496,7 +500,7 @@
       id: slot.info.id,
       inFlight: slot.inFlight,
       limit: readLimit(slot, LOWEST_PRIORITY),
-      slowness: slot.slowness,
+      slowness: slot.slowdown,
       isEjected: slot.health.isEjected(),
     }));
     return { queued: queue.size, inFlight, endpoints };
--- a/packages/coordination/src/stage_pool_limit_test.ts
+++ b/packages/coordination/src/stage_pool_limit_test.ts
@@ -35,7 +35,7 @@
     account: "handlers",
     size: 1,
     deadline: createDeadline({ clock, budget: SECOND }),
-    reserve: 0,
+    reservedTime: 0,
   };
 }
 
--- a/packages/coordination/src/stage_pool_test.ts
+++ b/packages/coordination/src/stage_pool_test.ts
@@ -48,7 +48,7 @@
       account: "handlers",
       size: 100,
       deadline: createDeadline({ clock, budget: change.budget ?? 1_000 }),
-      reserve: 0,
+      reservedTime: 0,
       ...change,
     };
   }
@@ -107,10 +107,12 @@
     await fill();
     let gaveUpAt = 0;
     const startedAt = clock.now();
-    const waiting = pool.acquire(work({ reserve: 700 })).then((refused) => {
-      gaveUpAt = clock.now() - startedAt;
-      return refused;
-    });
+    const waiting = pool.acquire(work({ reservedTime: 700 })).then(
+      (refused) => {
+        gaveUpAt = clock.now() - startedAt;
+        return refused;
+      },
+    );
     await clock.advance(1_000);
     const refused = await waiting;
     expect(refused.isErr && refused.error.verdict).to.equal("not_run");
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -246,7 +246,7 @@
     pools,
     affinity,
     isEnginePool: (pool) => config.site?.findPool(pool)?.kind === "engine",
-    isHeldBack: allowance.isHeldBack,
+    isHeldBack: allowance.isThrottled,
     onEntries: (entries) => exchange.addSeeds(entries),
   });
   const exchange = startPeerExchange(context, {
@@ -323,7 +323,7 @@
     phase = "leaving";
     timeline.record("process_stopping");
     entryLogger.info("Leaving: not named to callers any more.");
-    membership.beat({ state: "leaving" });
+    membership.updateSelf({ state: "leaving" });
     await exchange.tellPeers();
     // Callers keep an old address answer for a while; they are still served.
     await clock.sleep(settings.timing.drainMs, ending.signal);
@@ -411,8 +411,8 @@
   return createMembership({
     clock,
     random,
-    suspectAfter: settings.timing.suspectMs,
-    loseAfter: settings.timing.loseMs,
+    suspectTimeout: settings.timing.suspectMs,
+    lostTimeout: settings.timing.loseMs,
     self: {
       entry: settings.entry,
       incarnation,
--- a/packages/entry/src/generation_runner.ts
+++ b/packages/entry/src/generation_runner.ts
@@ -125,7 +125,7 @@
       account: run.account,
       size: prompt.length,
       deadline: run.deadline,
-      reserve: task.reserve +
+      reservedTime: task.reserve +
         tools.decodeTimes.estimateTypical(task.maxTokens),
       ...(affinity === undefined ? {} : { affinity }),
     },
--- a/packages/entry/src/once_guard.ts
+++ b/packages/entry/src/once_guard.ts
@@ -8,9 +8,9 @@
 import type {
   Failure,
   OutcomeTable,
-  OwnedRun,
   RequestId,
   RequestKey,
+  RunHandle,
 } from "@mangoreach/coordination";
 import { createFailure } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
@@ -27,7 +27,7 @@
 /** What may be done with a request. */
 export type OnceDecision =
   /** It may run here, once; the run must be finished or abandoned. */
-  | { kind: "run"; run: OwnedRun<StoredAnswer> }
+  | { kind: "run"; run: RunHandle<StoredAnswer> }
   /** It ran or was refused before; this was the answer. */
   | { kind: "answered"; answer: StoredAnswer };
 
@@ -149,7 +149,7 @@
       key: RequestKey;
       issuedAt: Millis;
       keepUntil: Millis;
-      run: OwnedRun<StoredAnswer>;
+      run: RunHandle<StoredAnswer>;
     },
   ): Promise<Decision> {
     const controller = new AbortController();
--- a/packages/entry/src/order_keeper.ts
+++ b/packages/entry/src/order_keeper.ts
@@ -13,7 +13,7 @@
   DemandTracker,
   EndpointDirectory,
   EndpointInfo,
-  EngineHolding,
+  EngineInventory,
   HeldLease,
 } from "@mangoreach/coordination";
 import {
@@ -103,7 +103,7 @@
 
   async function readHoldings(
     engines: readonly EndpointInfo[],
-  ): Promise<EngineHolding[]> {
+  ): Promise<EngineInventory[]> {
     const states = await Promise.all(engines.map(async (engine) => ({
       endpointKey: formatEndpointKey(engine),
       state: await orders.readState(engine),
--- a/packages/entry/src/peer_exchange.ts
+++ b/packages/entry/src/peer_exchange.ts
@@ -79,7 +79,7 @@
   }
 
   function beat(): void {
-    membership.beat({
+    membership.updateSelf({
       inFlight: options.countInFlight(),
       strainedPriority: options.readStrained(),
       configVersion: config.active?.version ?? 0,
--- a/packages/entry/src/pipeline_runner.ts
+++ b/packages/entry/src/pipeline_runner.ts
@@ -149,7 +149,7 @@
       account: run.account,
       size: body.text.length,
       deadline: run.deadline,
-      reserve,
+      reservedTime: reserve,
     };
     const done = await runAttempts<unknown>({
       clock,
@@ -240,7 +240,7 @@
       policy,
       decodeTimes: findDecodeTimes(pool),
       onSent: (endpoint, prefix) =>
-        affinity.noteSent(formatEndpointKey(endpoint), prefix),
+        affinity.recordSent(formatEndpointKey(endpoint), prefix),
       onWasted: addWaste,
     };
   }
--- a/packages/entry/src/request_handler.ts
+++ b/packages/entry/src/request_handler.ts
@@ -10,8 +10,8 @@
   AdmittedRequest,
   AttainmentTracker,
   Failure,
-  OwnedRun,
   RequestId,
+  RunHandle,
   StageForecast,
 } from "@mangoreach/coordination";
 import {
@@ -385,7 +385,7 @@
 }
 
 function keepOutcome(
-  owned: OwnedRun<StoredAnswer>,
+  owned: RunHandle<StoredAnswer>,
   { outcome, run }: { outcome: ExecutedRequest; run: RequestRun },
 ): void {
   const answer = createRememberedAnswer(outcome, run);
--- a/packages/entry/src/service_runner.ts
+++ b/packages/entry/src/service_runner.ts
@@ -60,7 +60,7 @@
         account: run.account,
         size: body.length,
         deadline: run.deadline,
-        reserve: 0,
+        reservedTime: 0,
       },
       policy,
       keepsPermit: false,
--- a/packages/entry/src/stage_attempts.ts
+++ b/packages/entry/src/stage_attempts.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type {
-  AttemptEnd,
+  AttemptOutcome,
   EndpointInfo,
   Failure,
   Permit,
@@ -240,7 +240,7 @@
   );
 }
 
-function classifyEnd({ kind, verdict }: Failure): AttemptEnd {
+function classifyEnd({ kind, verdict }: Failure): AttemptOutcome {
   switch (kind) {
     case "unavailable":
       return verdict === "not_run" ? "unreachable" : "failing";
--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -218,7 +218,7 @@
   }
 
   function chooseAddress(): string | undefined {
-    const partner = membership.choosePartner()?.controlAddress;
+    const partner = membership.choosePeer()?.controlAddress;
     const known = new Set(
       membership.list().map(({ record }) => record.controlAddress),
     );
@@ -243,7 +243,7 @@
   }
 
   async function tellPeers(count = PEERS_TOLD_AT_ONCE): Promise<void> {
-    membership.beat({});
+    membership.updateSelf({});
     const alive = membership.list()
       .filter(({ health }) => health === "alive");
     await Promise.all(
--- a/packages/peers/src/exchange_loop_test.ts
+++ b/packages/peers/src/exchange_loop_test.ts
@@ -55,9 +55,9 @@
       clock,
       self,
       random,
-      suspectAfter: 2_500,
-      loseAfter: 6_000,
-      scalePatience: (count) => Math.min(3, Math.max(1, count / 24)),
+      suspectTimeout: 2_500,
+      lostTimeout: 6_000,
+      computeTimeoutFactor: (count) => Math.min(3, Math.max(1, count / 24)),
     });
     membership.merge(known);
     const sent = { bytes: 0 };
@@ -68,7 +68,7 @@
       membership,
       directory: { chooseLeavingMarks: () => [] },
       interval: 500,
-      beat: () => membership.beat({}),
+      beat: () => membership.updateSelf({}),
       listSeeds: () => records.slice(0, 3).map((one) => one.controlAddress),
       exchange: async (address, message) => {
         await clock.sleep(2);
--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -110,9 +110,9 @@
     : findEngineChoice(admitted.pool)
       .rank(request.head.promptParts, inUse, engine);
   const isProbeDue = ({ info }: EndpointLoad) =>
-    sendAllowance.isAskDue(info) && sendAllowance.mayBegin(info);
+    sendAllowance.isProbeDue(info) && sendAllowance.maySend(info);
   const chosen = ranked.find(isProbeDue) ??
-    ranked.find(({ info }) => sendAllowance.mayBegin(info));
+    ranked.find(({ info }) => sendAllowance.maySend(info));
   return chosen?.info;
 }
 
@@ -246,7 +246,7 @@
     ? () => {}
     : startEarlyRelease({ ...state, endpoint, results, route: admitted.route });
   loads.begin(endpoint);
-  state.sendAllowance.begin(endpoint);
+  state.sendAllowance.recordSend(endpoint);
   const answer = await callEndpoint({
     endpoint,
     request,
--- a/packages/serving/src/config_freshness.ts
+++ b/packages/serving/src/config_freshness.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Membership } from "@mangoreach/coordination";
-import { createVersionWatch } from "@mangoreach/coordination";
+import { createPeerVersionTracker } from "@mangoreach/coordination";
 import type { ServingPeerClient } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import { createConfigAgeLog } from "./config_age_log.ts";
@@ -54,7 +54,7 @@
 export function createConfigFreshness(
   { clock, random, log, metrics, siteState }: ConfigFreshnessOptions,
 ): ConfigFreshness {
-  const versions = createVersionWatch(clock);
+  const versions = createPeerVersionTracker(clock);
 
   function readVersion(): number {
     return siteState.readTable()?.config.version ?? 0;
@@ -106,7 +106,7 @@
 
   return {
     readVersion,
-    recordPeerVersion: versions.note,
+    recordPeerVersion: versions.record,
     isBehindPeers,
     follow,
   };
--- a/packages/serving/src/dispatched_piece.ts
+++ b/packages/serving/src/dispatched_piece.ts
@@ -41,7 +41,7 @@
 export interface DispatchedPiece extends WaitingPiece {
   readonly group: DispatchedGroup;
   order: CalledPiece;
-  avoid: Set<string>;
+  excluded: Set<string>;
   attempts: number;
   isCancelled: boolean;
   /** Address of the result once the piece is computed. */
@@ -78,17 +78,17 @@
   const piece: DispatchedPiece = {
     priority: request.priority,
     group,
-    onTimeAt: now + request.onTime,
-    dueAt: now + request.remaining,
+    objectiveAt: now + request.onTime,
+    deadlineAt: now + request.remaining,
     place: request.place,
     resultBytes: request.resultBytes,
     movedBytes: request.movedBytes,
-    avoid: new Set(),
+    excluded: new Set(),
     order: { ...order, requestId: request.requestId, remaining: 0 },
     attempts: 0,
     isCancelled: false,
     result: undefined,
-    get isAlone() {
+    get isIsolated() {
       return group.ends.length >= MIN_CRASHES_TO_ISOLATE;
     },
     resolve,
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -119,9 +119,9 @@
     clock,
     self,
     random,
-    suspectAfter: SUSPECT_TIMEOUT,
-    loseAfter: LOST_TIMEOUT,
-    scalePatience: (known) =>
+    suspectTimeout: SUSPECT_TIMEOUT,
+    lostTimeout: LOST_TIMEOUT,
+    computeTimeoutFactor: (known) =>
       Math.min(MAX_TIMEOUT_FACTOR, Math.max(1, known / FAST_GOSSIP_PEERS)),
   });
   // Peers are reachable only inside the platform's network, and the platform
@@ -135,7 +135,7 @@
   const registry = createMemberRegistry({
     decode: options.members.decode,
     onSnapshot: (records) =>
-      membership.mergeDoubtful(records).forEach(recordPeer),
+      membership.mergeUnverified(records).forEach(recordPeer),
     onJoined: (record) => membership.merge([record]).forEach(recordPeer),
   });
 
@@ -172,7 +172,7 @@
         const views = membership.list();
         metrics.setKnown("peers", views.length);
         options.recordPeerVersion(readNewestVersion(views));
-        membership.beat({
+        membership.updateSelf({
           inFlight: options.countInFlight(),
           configVersion: options.readConfigVersion(),
           state: options.readState(),
--- a/packages/serving/src/piece_router.ts
+++ b/packages/serving/src/piece_router.ts
@@ -17,10 +17,10 @@
   PieceWaits,
 } from "@mangoreach/coordination";
 import {
-  chooseOverflow,
+  chooseOverflowPartition,
   choosePartition,
   createFailure,
-  listFeederOrder,
+  listDispatcherOrder,
   listPartitions,
   OVERFLOW_WAIT,
 } from "@mangoreach/coordination";
@@ -112,7 +112,7 @@
         !isDemoted(record.controlAddress)
       )
       .map(({ record }) => record);
-    return listFeederOrder([membership.self, ...others], key)
+    return listDispatcherOrder([membership.self, ...others], key)
       .map(({ entry, controlAddress }) =>
         entry === membership.self.entry ? undefined : controlAddress
       );
@@ -174,7 +174,7 @@
   /** Uses cached waits only: a query would take longer than it saves. */
   function chooseRunPartition({ pool, place, priority }: PieceWork): string {
     const { home, others } = listPoolPartitions({ pool, place });
-    return chooseOverflow(home, {
+    return chooseOverflowPartition(home, {
       others,
       readWait: (partition) =>
         poolWaits.peek({ pool, partition, priority })?.onTime,
--- a/packages/serving/src/piece_router_test.ts
+++ b/packages/serving/src/piece_router_test.ts
@@ -30,8 +30,8 @@
       clock,
       self: createTestPeer("self"),
       random: () => 0,
-      suspectAfter: 2_500,
-      loseAfter: 20_000,
+      suspectTimeout: 2_500,
+      lostTimeout: 20_000,
     });
     membership.merge(
       ["a", "b", "c", "d"].map((name) => ({ ...createTestPeer(name), state })),
@@ -164,8 +164,8 @@
         clock,
         self: { ...createTestPeer("self"), capacity: 0.1 },
         random: () => 0,
-        suspectAfter: 2_500,
-        loseAfter: 20_000,
+        suspectTimeout: 2_500,
+        lostTimeout: 20_000,
       });
       membership.merge(PLACES.flatMap((place) => [
         { ...createTestPeer(`${place}-1`), place },
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -82,7 +82,7 @@
   maxPieces: 1,
   callTime: 200,
   pieceTime: 20,
-  roomBytes: Infinity,
+  storageBytes: Infinity,
   resultLifetime: 4_000,
 };
 
@@ -154,7 +154,7 @@
       max: options.repeatSlack,
       // At least one retry per entry: a smaller share would never add up to
       // one.
-      readPart: () =>
+      readShare: () =>
         Math.max(1 / options.repeatSlack, 1 / countBudgetEntries()),
     })
   );
--- a/packages/serving/src/quarantine_news.ts
+++ b/packages/serving/src/quarantine_news.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import type {
-  EndedRun,
+  CrashedRun,
   Membership,
   PeerRecord,
   PoisonQuarantine,
@@ -44,7 +44,7 @@
 /** Shares quarantines with peers and the store, for one entry. */
 export interface QuarantineNews {
   /** Records a crash locally and reports it to the aggregators. */
-  recordCrash(run: EndedRun): void;
+  recordCrash(run: CrashedRun): void;
   /** Records a completed run; reports it if the content was suspected here. */
   recordCompletion(content: string): void;
   /** Aggregates a peer's report; the reply lists contents quarantined by it. */
@@ -78,7 +78,7 @@
 const EXPIRY_CHECK_INTERVAL: Millis = 30_000;
 
 interface PendingReport {
-  ended: EndedRun[];
+  ended: CrashedRun[];
   completed: string[];
 }
 
@@ -90,14 +90,14 @@
   /** By the control address of the peer. */
   let pending = new Map<string, PendingReport>();
 
-  function recordCrash(run: EndedRun): void {
+  function recordCrash(run: CrashedRun): void {
     const { content, endedAgo } = run;
     // Only aggregators count crashes: others do not learn that the content
     // completed elsewhere.
     if (listAggregators(content).some(isSelf)) {
-      handleQuarantined(quarantine.noteEnded(run));
+      handleQuarantined(quarantine.recordCrash(run));
     } else {
-      quarantine.noteSuspected({ content, age: endedAgo });
+      quarantine.recordSuspected({ content, age: endedAgo });
     }
     for (const { ended } of listPendingReports(run.content)) {
       if (ended.length < MAX_REPORT_ROWS) ended.push(run);
@@ -165,7 +165,7 @@
     completed.forEach(handleCompleted);
     return {
       quarantined: ended.flatMap((run) => {
-        const found = quarantine.noteEnded(run);
+        const found = quarantine.recordCrash(run);
         handleQuarantined(found);
         return found === undefined ? [] : [found];
       }),
@@ -181,7 +181,7 @@
   /** Returns whether it was suspected here. */
   function handleCompleted(content: string): boolean {
     const wasQuarantined = quarantine.readTimeLeft(content) > 0;
-    const wasSuspected = quarantine.noteCompleted(content);
+    const wasSuspected = quarantine.recordCompletion(content);
     if (wasQuarantined) {
       log.record("quarantine_changed", { content, outcome: "completed" });
       void writeStore(() => store.withdraw(content));
@@ -193,7 +193,7 @@
     found: QuarantinedContent,
     source: "peer" | "store",
   ): void {
-    if (quarantine.adopt(found)) recordChange(found, source);
+    if (quarantine.mergeQuarantined(found)) recordChange(found, source);
   }
 
   function recordChange(
@@ -244,7 +244,7 @@
 
   function applyUpdate({ quarantined, suspected }: PoisonNews): void {
     quarantined.forEach((found) => mergeQuarantined(found, "peer"));
-    suspected.forEach(quarantine.noteSuspected);
+    suspected.forEach(quarantine.recordSuspected);
   }
 
   /**
@@ -261,7 +261,7 @@
   async function releaseExpired(): Promise<void> {
     while (!signal.aborted) {
       await clock.sleep(EXPIRY_CHECK_INTERVAL, signal);
-      for (const content of quarantine.releaseLapsed()) {
+      for (const content of quarantine.releaseExpired()) {
         log.record("quarantine_changed", { content, outcome: "lapsed" });
         const isAggregator = listAggregators(content).some(isSelf);
         if (isAggregator) void writeStore(() => store.withdraw(content));
--- a/packages/serving/src/run_watch_test.ts
+++ b/packages/serving/src/run_watch_test.ts
@@ -1,4 +1,4 @@
-import type { EndedRun } from "@mangoreach/coordination";
+import type { CrashedRun } from "@mangoreach/coordination";
 import { createPoisonQuarantine } from "@mangoreach/coordination";
 import type { FakeClock } from "@mangoreach/shared";
 import { createFakeClock } from "@mangoreach/shared";
@@ -17,7 +17,7 @@
 }
 
 function createDetector(clock: FakeClock, condition: EndpointCondition) {
-  const ended: EndedRun[] = [];
+  const ended: CrashedRun[] = [];
   const completed: string[] = [];
   const quarantine = createPoisonQuarantine(clock);
   const detector = createRunWatch({
@@ -79,7 +79,11 @@
     await clock.advance(5);
     await noted;
     const { content } = ended[0]!;
-    quarantine.adopt({ content, endpointKeys: ["e1#1"], term: 60_000 });
+    quarantine.mergeQuarantined({
+      content,
+      endpointKeys: ["e1#1"],
+      term: 60_000,
+    });
     const isRefused = (change: Parameters<typeof createTracked>[0]) =>
       detector.findRefusal(createTracked(change)) !== undefined;
     expect({
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -417,7 +417,7 @@
     const startedAt = clock.now();
     phase = "leaving";
     log.record("process_stopping", { inProgress: tasks.size });
-    membership.beat({ state: "leaving" });
+    membership.updateSelf({ state: "leaving" });
     void exchange.tellPeers(MAX_NOTIFIED_PEERS);
     void platform.members.withdraw(membership.self);
     await clock.sleep(LEAVE_DELAY);
--- a/packages/serving/src/signalling_fleet.ts
+++ b/packages/serving/src/signalling_fleet.ts
@@ -214,8 +214,8 @@
       clock,
       self: records[entry]!,
       random,
-      suspectAfter: Infinity,
-      loseAfter: Infinity,
+      suspectTimeout: Infinity,
+      lostTimeout: Infinity,
     });
     membership.merge(load.listKnown?.(entry, records) ?? records);
     const entryAllowance = createEntryAllowance({
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_knowledge.ts
@@ -233,7 +233,7 @@
 
   const configSink: TopicSink = {
     handleRestored() {
-      evacuation.noteRestored();
+      evacuation.handleStoreRestored();
       recordRestored("config");
     },
     replaceAll(records) {
@@ -268,7 +268,7 @@
   function applyEvacuation({ key, value }: KeyedRecord): void {
     const place = platform.readEvacuatedPlace(key);
     if (place === undefined) return;
-    if (value === undefined) evacuation.takeBack(place);
+    if (value === undefined) evacuation.clearEvacuated(place);
     else evacuation.markEvacuated(place);
   }
 
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -17,7 +17,7 @@
   RetryBudget,
   SendAllowance,
 } from "@mangoreach/coordination";
-import { createPieceBatcher, createPieceFlow } from "@mangoreach/coordination";
+import { createPieceBatcher, createPieceRates } from "@mangoreach/coordination";
 import type {
   EndpointEnd,
   PieceOrder,
@@ -102,7 +102,7 @@
 ): StageDispatcher {
   const { clock, log, pool, stages, loads, readSpec, budget } = options;
   const batcher: PieceBatcher<DispatchedPiece> = createPieceBatcher(readSpec);
-  const rates = createPieceFlow(clock);
+  const rates = createPieceRates(clock);
   const storage = createResultStorage();
   const inputReleaser = createInputReleaser({
     clock,
@@ -201,15 +201,18 @@
     storage.removeExpired(now);
     dropInfeasible(now);
     for (;;) {
-      const isStrained = rates.isStrained();
-      const call = batcher.planCall(endpointCalls.list(), { now, isStrained });
+      const isStrained = rates.isBacklogged();
+      const call = batcher.planCall(endpointCalls.list(), {
+        now,
+        isBacklogged: isStrained,
+      });
       if (call === undefined) break;
       rates.recordCall(call.pieces.length);
       void runCall(call.endpoint, call.pieces);
     }
     const spec = readSpec();
     const usable = endpointCalls.list();
-    rates.noteQueue({
+    rates.recordQueue({
       waiting: batcher.size,
       isBusy: usable.every(({ calls }) => calls >= spec.slots),
       spec,
@@ -219,9 +222,9 @@
   }
 
   function dropInfeasible(now: Millis): void {
-    const infeasible = batcher.dropLate(now, readForecast());
+    const infeasible = batcher.dropInfeasible(now, readForecast());
     const groups = new Map(infeasible.map((piece) => [piece.group, piece]));
-    for (const [group, { order, priority, dueAt }] of groups) {
+    for (const [group, { order, priority, deadlineAt: dueAt }] of groups) {
       failGroup(group, "late");
       log.record("pieces_dropped", {
         request: order.requestId,
@@ -266,11 +269,11 @@
     const cancelRelease = inputReleaser.scheduleRelease({
       startedAt,
       groups: listGroups(pieces),
-      storageShare: storage.readUsed(key) / readSpec().roomBytes,
+      storageShare: storage.readUsed(key) / readSpec().storageBytes,
     });
     const reply = await stages.run({
       endpoint: info,
-      pieces: pieces.map(({ order, dueAt }) => ({
+      pieces: pieces.map(({ order, deadlineAt: dueAt }) => ({
         ...order,
         remaining: dueAt - startedAt,
       })),
@@ -419,12 +422,12 @@
     reason: "error" | "unavailable",
   ): void {
     if (piece.isCancelled) return;
-    piece.avoid.add(id);
+    piece.excluded.add(id);
     // If no other endpoint is healthy, those that failed the piece are used
     // again.
     const others = loads.listInUse(options.listEndpoints())
-      .filter(({ info }) => !piece.avoid.has(info.id));
-    if (others.length === 0) piece.avoid.clear();
+      .filter(({ info }) => !piece.excluded.has(info.id));
+    if (others.length === 0) piece.excluded.clear();
     if (piece.attempts >= MAX_ATTEMPTS || !budget.withdraw()) {
       return failGroup(piece.group, reason);
     }
@@ -449,7 +452,7 @@
       // A release counts against the endpoint's limit like any other request.
       // Results that are not released expire.
       const isThrottled = options.listAt(address)
-        .some(options.allowance.isHeldBack);
+        .some(options.allowance.isThrottled);
       if (isThrottled) continue;
       list.forEach(storage.remove);
       void releaseAt(address, list);
--- a/packages/serving/src/stage_endpoint_calls.ts
+++ b/packages/serving/src/stage_endpoint_calls.ts
@@ -31,7 +31,7 @@
   storage: ResultStorage;
   /** Lists the endpoints that accept new work now. */
   listEndpoints: () => readonly EndpointInfo[];
-  allowance: Pick<SendAllowance, "mayBegin" | "begin" | "readWait">;
+  allowance: Pick<SendAllowance, "maySend" | "recordSend" | "readWait">;
 }
 
 /** The calls in progress at the endpoints of one pool. */
@@ -67,15 +67,16 @@
       if (calls === 0 && !keys.has(key)) states.delete(key);
     }
     const now = clock.now();
-    return loads.listInUse(endpoints).map(({ info, slowdown: slowness }) => {
+    return loads.listInUse(endpoints).map(({ info, slowdown }) => {
       const key = formatEndpointKey(info);
       const free = { calls: 0, freeAt: 0, roomTaken: 0, blockedUntil: 0 };
-      const endpoint = states.get(key) ?? { key, info, slowness, ...free };
+      const endpoint = states.get(key) ??
+        { key, info, slowdown, ...free };
       states.set(key, endpoint);
       const roomTaken = storage.readUsed(key);
-      return Object.assign(endpoint, { info, slowness, roomTaken });
+      return Object.assign(endpoint, { info, slowdown, roomTaken });
     }).filter(({ blockedUntil, info }) =>
-      blockedUntil <= now && allowance.mayBegin(info)
+      blockedUntil <= now && allowance.maySend(info)
     );
   }
 
@@ -90,9 +91,9 @@
     count,
     begin(endpoint, expected) {
       endpoint.calls++;
-      endpoint.freeAt = clock.now() + endpoint.slowness * expected;
+      endpoint.freeAt = clock.now() + endpoint.slowdown * expected;
       loads.begin(endpoint.info);
-      allowance.begin(endpoint.info);
+      allowance.recordSend(endpoint.info);
     },
     end(endpoint) {
       endpoint.calls--;
--- a/packages/serving/src/stage_graph.ts
+++ b/packages/serving/src/stage_graph.ts
@@ -86,7 +86,7 @@
         createStageFailure(number, "the route has no such stage"),
       );
     }
-    const dependencies = plan[number]?.waitsFor ?? stage.after;
+    const dependencies = plan[number]?.dependencies ?? stage.after;
     const earlier = await Promise.all(dependencies.map(startStage));
     const failed = earlier.find((result) => result.isErr);
     if (failed?.isErr) return Result.err(failed.error);
@@ -109,16 +109,16 @@
         pools: stage.after.flatMap((needed) => stages[needed]?.pool ?? []),
       };
     const startedAt = clock.now();
-    const timeBehind = plan[number]?.timeBehind ?? 0;
+    const downstreamTime = plan[number]?.downstreamTime ?? 0;
     const deadline = Math.min(
-      options.dueAt - timeBehind,
+      options.dueAt - downstreamTime,
       ...stage.after.map((needed) => expiries.get(needed) ?? Infinity),
     );
     const reply = await router.run({
       pool: stage.pool,
       requestId: head.id,
       priority: options.rank,
-      onTime: options.onTimeAt - timeBehind - startedAt,
+      onTime: options.onTimeAt - downstreamTime - startedAt,
       remaining: deadline - startedAt,
       ...choosePlace(inputs),
       resultBytes: stage.resultBytes,
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -207,7 +207,7 @@
   maxPieces: 4,
   callTime: 200,
   pieceTime: 25,
-  roomBytes: 1_000,
+  storageBytes: 1_000,
   resultLifetime: 4_000,
 };
 
@@ -267,12 +267,12 @@
 /** Creates an allowance without limits. */
 export function createOpenAllowance(): SendAllowance {
   return {
-    mayBegin: () => true,
-    begin: () => {},
+    maySend: () => true,
+    recordSend: () => {},
     readWait: () => 0,
     readShortestWait: (endpoints) => endpoints.length === 0 ? Infinity : 0,
-    isHeldBack: () => false,
-    isAskDue: () => false,
+    isThrottled: () => false,
+    isProbeDue: () => false,
   };
 }
 
@@ -293,8 +293,8 @@
     membership: createMembership({
       clock,
       random: () => 0,
-      suspectAfter: 1,
-      loseAfter: 1,
+      suspectTimeout: 1,
+      lostTimeout: 1,
       self: createTestPeer("entry"),
     }),
     directory: createEndpointDirectory({ clock, markTtl: 1_000 }),
--- a/packages/serving/src/topic_readers.ts
+++ b/packages/serving/src/topic_readers.ts
@@ -12,8 +12,8 @@
 import type { Membership, PeerRecord } from "@mangoreach/coordination";
 import {
   listByRendezvous,
-  listNearFirst,
-  listStrong,
+  listHighCapacity,
+  listLocalFirst,
 } from "@mangoreach/coordination";
 import type { Millis } from "@mangoreach/shared";
 
@@ -66,7 +66,7 @@
     .map(({ record }) => record);
   const members: PeerRecord[] = [self, ...others];
   const ranked = rankEntries(
-    listStrong(members, ({ capacity }) => capacity),
+    listHighCapacity(members, ({ capacity }) => capacity),
     "readers",
   );
   const readerCount = Math.min(
@@ -93,7 +93,7 @@
   function listParents(): PeerRecord[] {
     if (isReader) return relays.filter(({ entry }) => entry !== self.entry);
     if (!isRelay) {
-      return listNearFirst(rankEntries(relays, self.entry), self.place);
+      return listLocalFirst(rankEntries(relays, self.entry), self.place);
     }
     // A relay reads only from entries ranked before it: two relays that waited
     // for each other would both go stale.
--- a/packages/serving/src/topic_readers_test.ts
+++ b/packages/serving/src/topic_readers_test.ts
@@ -24,8 +24,8 @@
       clock: createFakeClock(0),
       self,
       random: () => 0,
-      suspectAfter: 2_500,
-      loseAfter: 6_000,
+      suspectTimeout: 2_500,
+      lostTimeout: 6_000,
     });
     membership.merge(records);
     return { self, ...chooseTopicParents(membership) };
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -140,8 +140,8 @@
       clock,
       self,
       random: randomReal,
-      suspectAfter: 2_500,
-      loseAfter: Infinity,
+      suspectTimeout: 2_500,
+      lostTimeout: Infinity,
     });
     membership.merge(records);
     return membership;
