--- a/bench/src/local_site.ts
+++ b/bench/src/local_site.ts
@@ -242,7 +242,7 @@
       clock,
       logger: createSilentLogger(),
       random: Math.random,
-      createUniqueText: createUniqueText,
+      createUniqueText,
       onDrain: () => void entry.stop(),
     });
     entries.push(entry);
--- a/packages/coordination/src/piece_batcher_replay_test.ts
+++ b/packages/coordination/src/piece_batcher_replay_test.ts
@@ -169,7 +169,7 @@
   const longestWait = waitsOfDropped.length === 0
     ? 0
     : Math.max(...waitsOfDropped);
-  return { classes, perPiece: busy / completed, longestWait: longestWait };
+  return { classes, perPiece: busy / completed, longestWait };
 }
 
 function createEndpoint(id: string): Endpoint {
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -101,13 +101,13 @@
     clock,
     markTtl: settings.timing.leavingMarkMs,
   });
-  const isLearning = createDiscoveryCheck(clock);
+  const isDiscovering = createDiscoveryCheck(clock);
   const { allowance, limits, pauses } = createEntryAllowance({
     clock,
     random,
     entry: settings.entry,
     listMembers: () =>
-      isLearning() ? undefined : listSendingMembers(membership),
+      isDiscovering() ? undefined : listSendingMembers(membership),
     directory,
     isDispatched: () => false,
   });
--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -22,7 +22,7 @@
 import { readBodyBytes } from "@mangoreach/shared";
 import type { Millis } from "@mangoreach/shared";
 import type { CallerResponse } from "./caller_response.ts";
-import { mayRunAgain, startEarlyRelease } from "./early_release.ts";
+import { isRetryable, scheduleEarlyRelease } from "./early_release.ts";
 import type { AttemptResult, EndpointLoad } from "./endpoint_load.ts";
 import type { AdmittedRoute } from "./request_admission.ts";
 import type {
@@ -137,8 +137,8 @@
   endpoints: readonly EndpointLoad[],
   ownPlace: string,
 ): EndpointLoad[] {
-  const estimateCost = ({ info, load, slowdown: slowness }: EndpointLoad) =>
-    (1 + load) * slowness + (info.place === ownPlace ? 0 : OTHER_PLACE_COST);
+  const estimateCost = ({ info, load, slowdown }: EndpointLoad) =>
+    (1 + load) * slowdown + (info.place === ownPlace ? 0 : OTHER_PLACE_COST);
   return [...endpoints].sort((a, b) => estimateCost(a) - estimateCost(b));
 }
 
@@ -149,7 +149,7 @@
 ): Promise<AttemptOutcome> {
   const { request, admitted, deadline } = options;
   const { route, pool, account } = admitted;
-  const mayRepeat = mayRunAgain(route);
+  const mayRepeat = isRetryable(route);
   const avoid: string[] = [];
   let runs = 0;
   let last: FailedAttempt | undefined;
@@ -242,9 +242,12 @@
     state;
   const { request, admitted, deadline, results } = options;
   const startedAt = clock.now();
-  const stopRelease = results === undefined
-    ? () => {}
-    : startEarlyRelease({ ...state, endpoint, results, route: admitted.route });
+  const stopRelease = results === undefined ? () => {} : scheduleEarlyRelease({
+    ...state,
+    endpoint,
+    results,
+    route: admitted.route,
+  });
   loads.begin(endpoint);
   state.sendAllowance.recordSend(endpoint);
   const answer = await callEndpoint({
--- a/packages/serving/src/early_release.ts
+++ b/packages/serving/src/early_release.ts
@@ -13,7 +13,7 @@
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { StageResults } from "./stage_graph.ts";
 
-/** Options of {@linkcode startEarlyRelease}. */
+/** Options of {@linkcode scheduleEarlyRelease}. */
 export interface EarlyReleaseOptions {
   clock: Clock;
   loads: EndpointLoads;
@@ -29,7 +29,7 @@
 const FREE_ENGINE_LOAD = 24;
 
 /** Whether a request can be retried at another endpoint. */
-export function mayRunAgain({ kind, isResumable }: Route): boolean {
+export function isRetryable({ kind, isResumable }: Route): boolean {
   return kind === "idempotent" || isResumable;
 }
 
@@ -39,10 +39,10 @@
  * need them, or if the engine is loaded, because it may not have fetched them
  * yet.
  */
-export function startEarlyRelease(
+export function scheduleEarlyRelease(
   { clock, loads, route, endpoint, results }: EarlyReleaseOptions,
 ): () => void {
   const load = loads.view([endpoint])[0]?.load ?? Infinity;
-  if (mayRunAgain(route) || load > FREE_ENGINE_LOAD) return () => {};
+  if (isRetryable(route) || load > FREE_ENGINE_LOAD) return () => {};
   return clock.startTimer(FETCH_TIME, () => results.release());
 }
--- a/packages/serving/src/early_release_test.ts
+++ b/packages/serving/src/early_release_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { startEarlyRelease } from "./early_release.ts";
+import { scheduleEarlyRelease } from "./early_release.ts";
 import { createEndpointLoads } from "./endpoint_load.ts";
 import { createTestEndpoint, createTestRoute } from "./test_support.ts";
 
@@ -11,7 +11,7 @@
     const endpoint = createTestEndpoint("engine");
     for (let count = 0; count < load; count++) loads.begin(endpoint);
     const released: number[] = [];
-    const cancel = startEarlyRelease({
+    const cancel = scheduleEarlyRelease({
       clock,
       loads,
       route: createTestRoute({ kind: "stream", isResumable }),
--- a/packages/serving/src/endpoint_load.ts
+++ b/packages/serving/src/endpoint_load.ts
@@ -101,9 +101,9 @@
   function createView(info: EndpointInfo): EndpointLoad {
     const endpoint = findState(info);
     const { inFlight, health, report } = endpoint;
-    const { slowdown: slowness } = health;
+    const { slowdown } = health;
     const load = estimateLoad(endpoint);
-    return { info, inFlight, health, report, slowdown: slowness, load };
+    return { info, inFlight, health, report, slowdown, load };
   }
 
   function listHealthy(endpoints: readonly EndpointInfo[]): EndpointLoad[] {
--- a/packages/serving/src/leaving_endpoint_test.ts
+++ b/packages/serving/src/leaving_endpoint_test.ts
@@ -1,7 +1,10 @@
 import type { Millis } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { FleetArrival, FleetLoad } from "./signalling_fleet.ts";
-import { createSignals, runSignallingFleet } from "./signalling_fleet.ts";
+import {
+  createSignalSchedule,
+  runFleetSimulation,
+} from "./signalling_fleet.ts";
 
 const SECOND: Millis = 1_000;
 /** Requests sent later than this after the report must go elsewhere. */
@@ -29,10 +32,10 @@
   it("gets no more requests while the store shows it as live", async () => {
     const late: Record<string, number> = {};
     for (const [name, load] of Object.entries(LOADS)) {
-      const { arrivals } = await runSignallingFleet({
+      const { arrivals } = await runFleetSimulation({
         ...load,
         duration,
-        readSignals: createSignals({ count: 1, from: LEAVES_AT }, {
+        readSignals: createSignalSchedule({ count: 1, from: LEAVES_AT }, {
           isLeaving: true,
         }),
       });
--- a/packages/serving/src/limited_endpoint_test.ts
+++ b/packages/serving/src/limited_endpoint_test.ts
@@ -1,7 +1,10 @@
 import type { Millis } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { FleetArrival, FleetLoad } from "./signalling_fleet.ts";
-import { createSignals, runSignallingFleet } from "./signalling_fleet.ts";
+import {
+  createSignalSchedule,
+  runFleetSimulation,
+} from "./signalling_fleet.ts";
 
 const SECOND: Millis = 1_000;
 /** The window over which an endpoint counts its requests. */
@@ -92,7 +95,7 @@
         entries: 195,
         endpoints: 6,
         perSecond: 66,
-        listKnown: (entry, records) =>
+        listKnownEntries: (entry, records) =>
           records.filter((_, other) =>
             other === entry || (7 * other + 13 * entry) % 5 !== 0
           ),
@@ -101,10 +104,10 @@
   ];
 
   async function checkCase({ limit, limited, load }: Case): Promise<string> {
-    const { arrivals } = await runSignallingFleet({
+    const { arrivals } = await runFleetSimulation({
       ...load,
       duration,
-      readSignals: createSignals({ ...LIMITED_PERIOD, count: limited }, {
+      readSignals: createSignalSchedule({ ...LIMITED_PERIOD, count: limited }, {
         rateLimit: limit,
       }),
     });
@@ -129,12 +132,12 @@
   // An entry that sends no requests receives no reports, and would keep to the
   // limit for ever.
   it("gets its share again soon after the limit is lifted", async () => {
-    const { arrivals } = await runSignallingFleet({
+    const { arrivals } = await runFleetSimulation({
       entries: 195,
       endpoints: 6,
       perSecond: 66,
       duration,
-      readSignals: createSignals({ ...LIMITED_PERIOD, count: 6 }, {
+      readSignals: createSignalSchedule({ ...LIMITED_PERIOD, count: 6 }, {
         rateLimit: 1,
       }),
     });
@@ -145,12 +148,12 @@
   });
 
   it("causes requests above the limit to be refused at once", async () => {
-    const { refusals, sent, served } = await runSignallingFleet({
+    const { refusals, sent, served } = await runFleetSimulation({
       entries: 8,
       endpoints: 4,
       perSecond: 12,
       duration,
-      readSignals: createSignals({ count: 4, from: LIMITED_FROM }, {
+      readSignals: createSignalSchedule({ count: 4, from: LIMITED_FROM }, {
         rateLimit: 1,
       }),
     });
--- a/packages/serving/src/paused_endpoint_test.ts
+++ b/packages/serving/src/paused_endpoint_test.ts
@@ -1,7 +1,10 @@
 import type { Millis } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { FleetArrival, FleetLoad } from "./signalling_fleet.ts";
-import { createSignals, runSignallingFleet } from "./signalling_fleet.ts";
+import {
+  createSignalSchedule,
+  runFleetSimulation,
+} from "./signalling_fleet.ts";
 
 const SECOND: Millis = 1_000;
 const PAUSE = 3 * SECOND;
@@ -63,12 +66,15 @@
   it("gets no requests from an entry that it has refused", async () => {
     const found: Record<string, string> = {};
     for (const [name, { paused, ...load }] of Object.entries(CASES)) {
-      const { arrivals } = await runSignallingFleet({
+      const { arrivals } = await runFleetSimulation({
         ...load,
         duration,
-        readSignals: createSignals({ ...PAUSING_PERIOD, count: paused }, {
-          pause: PAUSE,
-        }),
+        readSignals: createSignalSchedule(
+          { ...PAUSING_PERIOD, count: paused },
+          {
+            pause: PAUSE,
+          },
+        ),
       });
       const most = countMostInPause(arrivals);
       found[name] = most <= MAX_LATE_REQUESTS
@@ -81,12 +87,12 @@
   }).timeout(60_000);
 
   it("gets requests again when its pause is over", async () => {
-    const { arrivals } = await runSignallingFleet({
+    const { arrivals } = await runFleetSimulation({
       entries: 8,
       endpoints: 4,
       perSecond: 30,
       duration,
-      readSignals: createSignals({ ...PAUSING_PERIOD, count: 1 }, {
+      readSignals: createSignalSchedule({ ...PAUSING_PERIOD, count: 1 }, {
         pause: PAUSE,
       }),
     });
@@ -98,12 +104,12 @@
 
   // No endpoint accepts the request until the time when its caller may retry.
   it("causes refusals at once, with the remaining pause as delay", async () => {
-    const { refusals } = await runSignallingFleet({
+    const { refusals } = await runFleetSimulation({
       entries: 8,
       endpoints: 4,
       perSecond: 30,
       duration,
-      readSignals: createSignals({ ...PAUSING_PERIOD, count: 4 }, {
+      readSignals: createSignalSchedule({ ...PAUSING_PERIOD, count: 4 }, {
         pause: PAUSE,
       }),
     });
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -99,7 +99,7 @@
   const { clock, readWallTime, random, log, metrics, settings } = options;
   /** Incarnation and state of each peer as last logged. */
   const peerStates = new Map<string, string>();
-  const isLearning = createDiscoveryCheck(clock);
+  const isDiscovering = createDiscoveryCheck(clock);
 
   const self: PeerRecord = {
     entry: settings.entry,
@@ -235,7 +235,7 @@
       return sampleEntries(views, {
         limit,
         random,
-        isDiscovering: isLearning(),
+        isDiscovering: isDiscovering(),
       });
     },
   };
--- a/packages/serving/src/piece_router.ts
+++ b/packages/serving/src/piece_router.ts
@@ -48,7 +48,7 @@
     "runPieces" | "readWaits" | "ping" | "releaseResults"
   >;
   /** Returns the dispatcher of a partition in this process. */
-  findFeeder: (pool: string, partition: string) => StageDispatcher;
+  findDispatcher: (pool: string, partition: string) => StageDispatcher;
   listUsable: (pool: string) => readonly EndpointInfo[];
   /** Returns the place of the endpoint that stores a result, if it is known. */
   readPlace: (result: string) => string | undefined;
@@ -95,7 +95,7 @@
 export function createPieceRouter(
   options: PieceRouterOptions,
 ): PieceRouter {
-  const { clock, log, membership, peers, findFeeder } = options;
+  const { clock, log, membership, peers, findDispatcher } = options;
   /** Control address of each demoted dispatcher to the end of its demotion. */
   const demotions = new Map<string, Millis>();
   const probes = new Map<string, LivenessProbe>();
@@ -154,7 +154,7 @@
     const { pool, partition, priority } = query;
     const address = listDispatchers(query)[0];
     if (address === undefined) {
-      return findFeeder(pool, partition).readWaits(priority);
+      return findDispatcher(pool, partition).readWaits(priority);
     }
     const reply = await peers.readWaits(address, query);
     if (reply.isErr) return undefined;
@@ -218,7 +218,7 @@
       demoteDispatcher(address, order, reply.error.message);
     }
     const left = computeRemaining(order, clock.now() - startedAt);
-    const dispatcher = findFeeder(order.pool, order.partition);
+    const dispatcher = findDispatcher(order.pool, order.partition);
     return Result.ok(await dispatcher.run(left, signal));
   }
 
@@ -289,7 +289,7 @@
 
   function releaseAt(key: PartitionKey, results: readonly string[]): void {
     const releaseHere = (list: readonly string[]) =>
-      findFeeder(key.pool, key.partition).release(list);
+      findDispatcher(key.pool, key.partition).release(list);
     const address = listDispatchers(key)[0];
     if (address === undefined) return releaseHere(results);
     for (let at = 0; at < results.length; at += MAX_RELEASED) {
--- a/packages/serving/src/piece_router_test.ts
+++ b/packages/serving/src/piece_router_test.ts
@@ -80,7 +80,7 @@
         },
         releaseResults: () => Promise.resolve(Result.ok(null)),
       },
-      findFeeder: () => ({
+      findDispatcher: () => ({
         run: () => {
           const outcomes = [{ kind: "done" as const, result: "self" }];
           const waits = { onTime: 0, late: 0, growth: 0 };
@@ -208,7 +208,7 @@
             return Promise.resolve(Result.ok(null));
           },
         },
-        findFeeder: () => {
+        findDispatcher: () => {
           throw new Error("this entry dispatches nothing");
         },
       });
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -28,7 +28,7 @@
 import type { StageDispatcher } from "./stage_dispatcher.ts";
 import { createStageDispatcher } from "./stage_dispatcher.ts";
 
-/** Options of {@linkcode createPoolParts}. */
+/** Options of {@linkcode createPoolComponents}. */
 export interface PoolComponentsOptions {
   clock: Clock;
   log: DecisionLog;
@@ -38,7 +38,7 @@
   listUsable: (pool: string) => readonly EndpointInfo[];
   /** Marks an endpoint whose address now belongs to another instance. */
   markLeaving: (endpointKey: string) => void;
-  noteSignals: NoteSignals;
+  handleSignals: NoteSignals;
   allowance: SendAllowance;
   /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
@@ -56,12 +56,12 @@
 /** Components of all pools, created on first use. */
 export interface PoolComponents {
   /** Returns the dispatcher of one partition of a pool. */
-  findFeeder(pool: string, partition: string): StageDispatcher;
+  findDispatcher(pool: string, partition: string): StageDispatcher;
   findBudget(pool: string): RetryBudget;
   findDelays(pool: string): DelayModel;
   findEngineChoice(pool: string): EngineSelector;
   /** Makes all dispatchers dispatch again, after endpoints have changed. */
-  refreshFeeders(): void;
+  refreshDispatchers(): void;
 }
 
 /** Minimum number of entries among which the slack of a budget is divided. */
@@ -101,7 +101,7 @@
 }
 
 /** Creates the lookups; components are created on first use. */
-export function createPoolParts(
+export function createPoolComponents(
   options: PoolComponentsOptions,
 ): PoolComponents {
   const { clock, log, loads } = options;
@@ -109,7 +109,7 @@
   const isDiscovering = createDiscoveryCheck(clock);
   let maxEntries = MIN_ENTRIES;
 
-  function findFeeder(pool: string, partition: string): StageDispatcher {
+  function findDispatcher(pool: string, partition: string): StageDispatcher {
     const key = `${pool}/${partition}`;
     const known = dispatchers.get(key);
     if (known !== undefined) return known;
@@ -122,7 +122,7 @@
       listEndpoints: () =>
         listPartitionEndpoints(options.listUsable(pool), partition),
       markLeaving: options.markLeaving,
-      handleSignals: options.noteSignals,
+      handleSignals: options.handleSignals,
       allowance: options.allowance,
       listAt: options.listAt,
       endpointCheck: options.endpointCheck,
@@ -161,15 +161,15 @@
   const findDelays = createPerPool(createDelayModel);
   const findEngineChoice = createPerPool(() => createEngineSelector(clock));
 
-  function refreshFeeders(): void {
+  function refreshDispatchers(): void {
     for (const dispatcher of dispatchers.values()) dispatcher.refresh();
   }
 
   return {
-    findFeeder,
+    findDispatcher,
     findBudget,
     findDelays,
     findEngineChoice,
-    refreshFeeders,
+    refreshDispatchers,
   };
 }
--- a/packages/serving/src/pool_parts_test.ts
+++ b/packages/serving/src/pool_parts_test.ts
@@ -2,13 +2,13 @@
 import { expect } from "chai";
 import { createSilentDecisionLog } from "./decision_log.ts";
 import { createEndpointLoads } from "./endpoint_load.ts";
-import { createPoolParts } from "./pool_parts.ts";
+import { createPoolComponents } from "./pool_parts.ts";
 import { createFakeStages, createOpenAllowance } from "./test_support.ts";
 
 describe("pool components", () => {
   function create(known: { entries: number }) {
     const clock = createFakeClock(0);
-    const components = createPoolParts({
+    const components = createPoolComponents({
       clock,
       log: createSilentDecisionLog(),
       loads: createEndpointLoads(clock),
@@ -18,7 +18,7 @@
       stages: createFakeStages(),
       listUsable: () => [],
       markLeaving: () => {},
-      noteSignals: () => {},
+      handleSignals: () => {},
       allowance: createOpenAllowance(),
       listAt: () => [],
       readTable: () => undefined,
--- a/packages/serving/src/request_service.ts
+++ b/packages/serving/src/request_service.ts
@@ -21,7 +21,7 @@
 import { admitRequest } from "./request_admission.ts";
 import type { PassedRequest } from "./serving_handles.ts";
 import type { ServingState } from "./serving_state.ts";
-import { findHopeless } from "./stage_admission.ts";
+import { findInfeasible } from "./stage_admission.ts";
 import type { StageResults } from "./stage_graph.ts";
 import { runStages } from "./stage_graph.ts";
 
@@ -153,7 +153,7 @@
     }));
   }
   const place = chooseEndpoint(state, { request, admitted, avoid: [] })?.place;
-  const infeasible = await findHopeless({
+  const infeasible = await findInfeasible({
     stages: route.stages,
     durations,
     readWaits: (pool) => router.readWaits({ pool, priority: rank, place }),
@@ -169,15 +169,16 @@
     router,
     route,
     head: request.head,
-    rank,
-    onTimeAt: objectiveAt,
-    dueAt: deadlineAt,
+    priority: rank,
+    objectiveAt,
+    deadlineAt,
     durations,
     readLifetime: (pool) =>
       table.findPool(pool)?.batching?.resultLifetime ?? Infinity,
     readPlace: (result) => state.findPlace(state.readMaker(result)),
     place,
-    noteEnds: (ends) => crashDetector.noteStageEnds({ request, account }, ends),
+    recordCrashes: (ends) =>
+      crashDetector.noteStageEnds({ request, account }, ends),
     signal: deadline.signal,
   });
 }
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -36,7 +36,7 @@
 import { createSignalNotes } from "./endpoint_signals.ts";
 import { createPeerGossip } from "./peer_news.ts";
 import { createPieceRouter } from "./piece_router.ts";
-import { createPoolParts } from "./pool_parts.ts";
+import { createPoolComponents } from "./pool_parts.ts";
 import { createQuarantineNews } from "./quarantine_news.ts";
 import { serveRequest } from "./request_service.ts";
 import { createRunWatch } from "./run_watch.ts";
@@ -148,7 +148,7 @@
         request: (address, query) => topicRequests.request(address, query),
       }),
     onConfig: ({ limits }) => listener.applyLimits(limits),
-    onEndpoints: () => pools.refreshFeeders(),
+    onEndpoints: () => pools.refreshDispatchers(),
     onRestored() {
       if (phase !== "open") return;
       void gossip.republish(signal);
@@ -280,7 +280,7 @@
     listAt,
   });
 
-  const pools = createPoolParts({
+  const pools = createPoolComponents({
     clock,
     log,
     loads,
@@ -288,7 +288,7 @@
     stages: platform.stages,
     listUsable: directory.listUsable,
     markLeaving: (endpointKey) => directory.markLeaving(endpointKey),
-    noteSignals,
+    handleSignals: noteSignals,
     allowance,
     listAt,
     readTable,
@@ -297,14 +297,14 @@
     repeatShare: settings.repeatShare,
     repeatSlack: settings.repeatSlack,
   });
-  const { findFeeder } = pools;
+  const { findDispatcher } = pools;
   const router = createPieceRouter({
     clock,
     random,
     log,
     membership,
     peers,
-    findFeeder,
+    findDispatcher,
     listUsable: directory.listUsable,
     readPlace: (result) =>
       siteState.findPlace(platform.stages.readMaker(result)),
@@ -375,16 +375,16 @@
         readConfig: () => siteState.readPublished() ?? null,
         readTopics: (queries) => handleTopicRequests(siteState.relays, queries),
         readWaits: ({ pool, partition, priority }) =>
-          findFeeder(pool, partition).readWaits(priority),
+          findDispatcher(pool, partition).readWaits(priority),
         releaseResults: ({ pool, partition, results }) =>
-          findFeeder(pool, partition).release(results),
+          findDispatcher(pool, partition).release(results),
       },
     }),
     { address: settings.control, limits: PEER_LIMITS },
   );
 
   function runForPeer(run: PieceRun, stop: AbortSignal) {
-    const reply = findFeeder(run.pool, run.partition).run(run, stop);
+    const reply = findDispatcher(run.pool, run.partition).run(run, stop);
     tasks.add(reply);
     return reply;
   }
--- a/packages/serving/src/signalling_fleet.ts
+++ b/packages/serving/src/signalling_fleet.ts
@@ -44,7 +44,7 @@
   perSecond: number;
   duration: Millis;
   /** Lists the entries that an entry knows; all of them by default. */
-  listKnown?: (
+  listKnownEntries?: (
     entry: number,
     records: readonly PeerRecord[],
   ) => readonly PeerRecord[];
@@ -105,7 +105,7 @@
 /**
  * Makes the first endpoints send the same signals in every reply of a period.
  */
-export function createSignals(
+export function createSignalSchedule(
   { count, from, until = Infinity }: SignalPeriod,
   signals: EndpointSignals,
 ): FleetLoad["readSignals"] {
@@ -114,7 +114,7 @@
 }
 
 /** Runs a simulation to its end. */
-export async function runSignallingFleet(
+export async function runFleetSimulation(
   load: FleetLoad,
 ): Promise<FleetResult> {
   const clock = createFakeClock(0);
@@ -217,7 +217,7 @@
       suspectTimeout: Infinity,
       lostTimeout: Infinity,
     });
-    membership.merge(load.listKnown?.(entry, records) ?? records);
+    membership.merge(load.listKnownEntries?.(entry, records) ?? records);
     const entryAllowance = createEntryAllowance({
       clock,
       random,
--- a/packages/serving/src/stage_admission.ts
+++ b/packages/serving/src/stage_admission.ts
@@ -21,7 +21,7 @@
 
 const NO_WAITS: PieceWaits = { onTime: 0, late: 0, growth: 0 };
 
-/** Options of {@linkcode findHopeless}. */
+/** Options of {@linkcode findInfeasible}. */
 export interface StageForecastOptions {
   stages: readonly RouteStage[];
   /** Expected time of each stage without queueing; 0 if it has no pieces. */
@@ -39,7 +39,7 @@
  * Returns the refusal of a request that cannot complete before its deadline, or
  * undefined if it is admitted.
  */
-export async function findHopeless(
+export async function findInfeasible(
   { stages, durations, readWaits, onTime, remaining, random }:
     StageForecastOptions,
 ): Promise<Failure | undefined> {
--- a/packages/serving/src/stage_admission_test.ts
+++ b/packages/serving/src/stage_admission_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { findHopeless } from "./stage_admission.ts";
+import { findInfeasible } from "./stage_admission.ts";
 
 const STAGES = [
   { pool: "a", after: [], resultBytes: 1 },
@@ -13,7 +13,7 @@
     { onTime = 1_000, remaining = 4_000, durations = [300, 300] },
     waits: Record<string, { onTime: number; late: number; growth?: number }>,
   ) {
-    return findHopeless({
+    return findInfeasible({
       stages: STAGES,
       durations,
       readWaits: (pool) => Promise.resolve({ ...NO_WAITS, ...waits[pool] }),
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -201,10 +201,10 @@
     storage.removeExpired(now);
     dropInfeasible(now);
     for (;;) {
-      const isStrained = rates.isBacklogged();
+      const isBacklogged = rates.isBacklogged();
       const call = batcher.planCall(endpointCalls.list(), {
         now,
-        isBacklogged: isStrained,
+        isBacklogged,
       });
       if (call === undefined) break;
       rates.recordCall(call.pieces.length);
@@ -224,13 +224,13 @@
   function dropInfeasible(now: Millis): void {
     const infeasible = batcher.dropInfeasible(now, readForecast());
     const groups = new Map(infeasible.map((piece) => [piece.group, piece]));
-    for (const [group, { order, priority, deadlineAt: dueAt }] of groups) {
+    for (const [group, { order, priority, deadlineAt }] of groups) {
       failGroup(group, "late");
       log.record("pieces_dropped", {
         request: order.requestId,
         pool,
         stage: order.stage,
-        left: dueAt - now,
+        left: deadlineAt - now,
         waiting: batcher.size,
         ...readWaits(priority),
         reason: "cannot meet the deadline",
--- a/packages/serving/src/stage_graph.ts
+++ b/packages/serving/src/stage_graph.ts
@@ -27,11 +27,11 @@
   route: Route;
   head: RequestHead;
   /** Priority of the pieces; 0 is the highest. */
-  rank: number;
+  priority: number;
   /** Time by which the results are needed to meet the latency objective. */
-  onTimeAt: Millis;
+  objectiveAt: Millis;
   /** Deadline for the results. */
-  dueAt: Millis;
+  deadlineAt: Millis;
   /** Expected time of each stage without queueing; 0 if it has no pieces. */
   durations: readonly Millis[];
   /** Returns how long the endpoints of a pool store results. */
@@ -41,7 +41,7 @@
   /** Place from which the results of the last stages will be fetched. */
   place: string | undefined;
   /** Called with the endpoints that terminated during calls for the request. */
-  noteEnds: (ends: readonly EndpointEnd[]) => void;
+  recordCrashes: (ends: readonly EndpointEnd[]) => void;
   signal: AbortSignal;
 }
 
@@ -111,14 +111,14 @@
     const startedAt = clock.now();
     const downstreamTime = plan[number]?.downstreamTime ?? 0;
     const deadline = Math.min(
-      options.dueAt - downstreamTime,
+      options.deadlineAt - downstreamTime,
       ...stage.after.map((needed) => expiries.get(needed) ?? Infinity),
     );
     const reply = await router.run({
       pool: stage.pool,
       requestId: head.id,
-      priority: options.rank,
-      onTime: options.onTimeAt - downstreamTime - startedAt,
+      priority: options.priority,
+      onTime: options.objectiveAt - downstreamTime - startedAt,
       remaining: deadline - startedAt,
       ...choosePlace(inputs),
       resultBytes: stage.resultBytes,
@@ -134,7 +134,7 @@
     }, controller.signal);
     if (reply.isErr) return Result.err(reply.error);
     const { outcomes, freedInputs, ends } = reply.value;
-    if (ends !== undefined) options.noteEnds(ends);
+    if (ends !== undefined) options.recordCrashes(ends);
     // A second release would cost one message and one call per endpoint.
     if (freedInputs) stage.after.forEach((needed) => outputs.delete(needed));
     const results = outcomes.flatMap((outcome) =>
--- a/packages/serving/src/stage_graph_test.ts
+++ b/packages/serving/src/stage_graph_test.ts
@@ -54,14 +54,14 @@
       },
       route: createTestRoute({ stages: STAGES }),
       head: createTestHead({ pieceCounts }),
-      rank: 1,
-      onTimeAt: 2_000,
-      dueAt,
+      priority: 1,
+      objectiveAt: 2_000,
+      deadlineAt: dueAt,
       durations: pieceCounts.map((count) => count === 0 ? 0 : 300),
       readLifetime: () => 4_000,
       readPlace: () => "there",
       place: "here",
-      noteEnds: (ends) => void reportedEnds.push(...ends),
+      recordCrashes: (ends) => void reportedEnds.push(...ends),
       signal: new AbortController().signal,
     });
     return {
