--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -78,7 +78,10 @@
   load: AttemptResult;
 };
 
-/** The most attempts for one request, counting those that did not run. */
+/**
+ * The most attempts for one request. It bounds those that did not run anywhere,
+ * which `maxAttempts` of the route does not count.
+ */
 const MAX_ATTEMPTS = 4;
 const MAX_ANSWER_BYTES = 8_388_608;
 const FIRST_FAILING_STATUS = 500;
@@ -395,7 +398,8 @@
       await response.write(chunk);
     }
   } catch {
-    // A stream that broke must not look complete to the caller.
+    // A broken stream must not look complete to the caller; the cause lies with
+    // the endpoint.
     if (!response.isStarted) {
       return classifyFault("maybe", {
         message: "the stream broke off before its first event",
--- a/packages/serving/src/caller_response.ts
+++ b/packages/serving/src/caller_response.ts
@@ -11,7 +11,7 @@
 /** How a response ended. */
 export type ResponseEnd = "complete" | "cut";
 
-/** The response to one request: complete, streamed or a refusal. */
+/** The response to one request, either buffered, streamed or refused. */
 export interface CallerResponse {
   readonly isStarted: boolean;
   /** Aborts if the caller disconnects before the response is complete. */
@@ -22,7 +22,7 @@
   startStream(head: Omit<BufferedAnswer, "body">): void;
   /** Writes a chunk; resolves once the caller can receive more. */
   write(chunk: Buffer): Promise<void>;
-  /** Ends a stream; one that is cut closes the connection. */
+  /** Ends a stream; a cut one must not look complete, so it is disconnected. */
   endStream(end: ResponseEnd): void;
   /** Sends a failure of this entry. */
   refuse(failure: Failure): void;
--- a/packages/serving/src/request_admission.ts
+++ b/packages/serving/src/request_admission.ts
@@ -22,7 +22,7 @@
   table: RouteTable;
   /** The pool that answers this request. */
   pool: string;
-  /** The name of the client account; undefined on routes without accounts. */
+  /** The client account; undefined on public routes or without accounts. */
   account: string | undefined;
   /** 0 is the highest. */
   priority: number;
--- a/packages/serving/src/serving_handles.ts
+++ b/packages/serving/src/serving_handles.ts
@@ -50,7 +50,7 @@
   request: PassedRequest;
   /** Time left until the deadline. */
   remaining: Millis;
-  /** The name of the client account; undefined on routes without accounts. */
+  /** The client account; undefined on public routes or without accounts. */
   account: string | undefined;
   /** 0 is the highest. */
   priority: number;
