--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -28,15 +28,15 @@
 import type {
   EndpointAnswer,
   EndpointReply,
+  ForwardedRequest,
   NotRunReason,
-  PassedRequest,
 } from "./serving_handles.ts";
 import type { ServingState } from "./serving_state.ts";
 import type { StageResults } from "./stage_graph.ts";
 
 /** Options of {@linkcode runAttempts}. */
 export interface AttemptOptions {
-  request: PassedRequest;
+  request: ForwardedRequest;
   response: CallerResponse;
   admitted: AdmittedRoute;
   deadline: Deadline;
@@ -99,14 +99,14 @@
   { directory, loads, membership, findEngineChoice, sendAllowance }:
     ServingState,
   { request, admitted, avoid }: {
-    request: PassedRequest;
+    request: ForwardedRequest;
     admitted: AdmittedRoute;
     avoid: readonly string[];
   },
 ): EndpointInfo | undefined {
   const usable = directory.listUsable(admitted.pool)
     .filter(({ id }) => !avoid.includes(id));
-  const inUse = loads.listInUse(usable);
+  const inUse = loads.listHealthy(usable);
   const engine = admitted.table.findPool(admitted.pool)?.engine;
   const ranked = engine === undefined
     ? sortByCost(inUse, membership.self.place)
@@ -160,7 +160,7 @@
   for (let attempts = 0;; attempts++) {
     // Checked again before each attempt: while the stages ran, the same content
     // may have crashed endpoints that it reached through other entries.
-    const refusal = state.runWatch.findRefusal({ request, account });
+    const refusal = state.crashDetector.findRefusal({ request, account });
     if (refusal !== undefined && runs === 0) {
       return { failure: refusal, attempts };
     }
@@ -211,7 +211,7 @@
   if (last?.fallback !== undefined) {
     const { reply, body } = last.fallback;
     const { status, headers } = reply;
-    response.sendWhole({ status, headers, body });
+    response.sendBuffered({ status, headers, body });
     return { attempts, status, end: "complete", ...endpointField };
   }
   const verdict: Verdict = runs === 0 ? "not_run" : "may_have_run";
@@ -241,8 +241,7 @@
   options: AttemptOptions,
   endpoint: EndpointInfo,
 ): Promise<FinishedAttempt> {
-  const { clock, loads, callEndpoint, findDelays, runWatch: crashDetector } =
-    state;
+  const { clock, loads, callEndpoint, findDelays, crashDetector } = state;
   const { request, admitted, deadline, results } = options;
   const startedAt = clock.now();
   const stopRelease = results === undefined ? () => {} : scheduleEarlyRelease({
@@ -265,7 +264,7 @@
   stopRelease();
   if (answer.isOk) {
     const source = { way: "request", to: endpoint, sentAt: startedAt } as const;
-    state.noteSignals(source, answer.value);
+    state.handleSignals(source, answer.value);
   }
   let latency: Millis | undefined;
   const recordLatency = () => {
@@ -281,11 +280,11 @@
     })
     : await handleAnswer(options, answer.value, recordLatency);
   loads.end(endpoint, end.load);
-  if (end.load === "unreachable") state.noteUnreachable(endpoint);
+  if (end.load === "unreachable") state.recordUnreachable(endpoint);
   const { account } = admitted;
-  if (end.load === "done") crashDetector.noteCompleted({ request, account });
+  if (end.load === "done") crashDetector.recordCompletion({ request, account });
   if (end.load === "broken") {
-    void crashDetector.noteBroken({
+    void crashDetector.handleBrokenRun({
       request,
       account,
       endpoint,
@@ -379,7 +378,7 @@
       fallback: { reply, body },
     };
   }
-  response.sendWhole({ status, headers, body });
+  response.sendBuffered({ status, headers, body });
   return { kind: "answered", status, end: "complete", load: "done" };
 }
 
--- a/packages/serving/src/caller_listener_test.ts
+++ b/packages/serving/src/caller_listener_test.ts
@@ -32,7 +32,11 @@
       encodeFailure: () => ({ status: 503, headers: [] }),
       serve: ({ response }) => {
         served++;
-        response.sendWhole({ status: 200, headers: [], body: Buffer.from("") });
+        response.sendBuffered({
+          status: 200,
+          headers: [],
+          body: Buffer.from(""),
+        });
         return Promise.resolve();
       },
       readLimits: () => LIMITS,
--- a/packages/serving/src/caller_response.ts
+++ b/packages/serving/src/caller_response.ts
@@ -15,9 +15,9 @@
 export interface CallerResponse {
   readonly isStarted: boolean;
   /** Aborts if the caller disconnects before the response is complete. */
-  readonly gone: AbortSignal;
+  readonly disconnected: AbortSignal;
   /** Sends a response with its complete body. */
-  sendWhole(answer: BufferedAnswer): void;
+  sendBuffered(answer: BufferedAnswer): void;
   /** Sends the head of a streamed response. */
   startStream(head: Omit<BufferedAnswer, "body">): void;
   /** Writes a chunk; resolves once the caller can receive more. */
@@ -86,8 +86,8 @@
     get isStarted() {
       return response.headersSent;
     },
-    gone: controller.signal,
-    sendWhole: sendBuffered,
+    disconnected: controller.signal,
+    sendBuffered,
     startStream({ status, headers }) {
       if (response.headersSent || response.destroyed) return;
       writeHead(status, headers);
--- a/packages/serving/src/endpoint_load.ts
+++ b/packages/serving/src/endpoint_load.ts
@@ -41,7 +41,7 @@
   /** Returns load and health of each of these endpoints. */
   view(endpoints: readonly EndpointInfo[]): EndpointLoad[];
   /** Leaves out ejected endpoints; returns all if all are ejected. */
-  listInUse(endpoints: readonly EndpointInfo[]): EndpointLoad[];
+  listHealthy(endpoints: readonly EndpointInfo[]): EndpointLoad[];
   begin(endpoint: EndpointInfo): void;
   end(endpoint: EndpointInfo, end: AttemptResult): void;
   recordReport(endpoint: EndpointInfo, report: LoadReport): void;
@@ -114,7 +114,7 @@
 
   return {
     view: (endpoints) => endpoints.map(createView),
-    listInUse: listHealthy,
+    listHealthy,
     begin(endpoint) {
       findState(endpoint).inFlight++;
     },
--- a/packages/serving/src/endpoint_signals.ts
+++ b/packages/serving/src/endpoint_signals.ts
@@ -36,12 +36,12 @@
 }
 
 /** Handles the signals of an answer. */
-export type NoteSignals = (
+export type SignalHandler = (
   source: SignalSource,
   answer: AnswerWithSignals,
 ) => void;
 
-/** Options of {@linkcode createSignalNotes}. */
+/** Options of {@linkcode createSignalHandler}. */
 export interface SignalHandlerOptions {
   log: DecisionLog;
   metrics: Pick<ServingMetrics, "countSignal">;
@@ -59,9 +59,9 @@
 }
 
 /** Creates the handler of one entry. */
-export function createSignalNotes(
+export function createSignalHandler(
   { log, metrics, limits, directory, pauses, listAt }: SignalHandlerOptions,
-): NoteSignals {
+): SignalHandler {
   function applyLimit(from: SignalOrigin, rateLimit?: number): void {
     const { endpoint, sentAt } = from;
     const key = formatEndpointKey(endpoint);
--- a/packages/serving/src/keyed_follower.ts
+++ b/packages/serving/src/keyed_follower.ts
@@ -7,10 +7,10 @@
 import type { DataTimestamp } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type {
-  KeyedReading,
-  KeyedRecord,
-  KeyedSource,
   TopicPosition,
+  TopicReadResult,
+  TopicRecord,
+  TopicSource,
 } from "./serving_handles.ts";
 
 /** Receives the records of a topic. */
@@ -21,9 +21,9 @@
    */
   handleRestored(): void;
   /** Applies a snapshot: the newest record of every key. */
-  replaceAll(records: readonly KeyedRecord[]): void;
+  replaceAll(records: readonly TopicRecord[]): void;
   /** Applies one change. */
-  apply(record: KeyedRecord): void;
+  apply(record: TopicRecord): void;
   /**
    * Called when the records applied so far are known to be complete at
    * `requestedAt`.
@@ -40,7 +40,7 @@
   clock: Clock;
   random: () => number;
   signal: AbortSignal;
-  source: KeyedSource;
+  source: TopicSource;
   sink: TopicSink;
   readTime: () => DataTimestamp;
   /** Long-poll wait of one read. */
@@ -75,9 +75,9 @@
   let readAt = -Infinity;
 
   /** Resolves to the result, or to undefined after a failure. */
-  async function readOnce(): Promise<KeyedReading | undefined> {
+  async function readOnce(): Promise<TopicReadResult | undefined> {
     const result = next === undefined
-      ? await source.readNewest()
+      ? await source.readSnapshot()
       : await source.readFrom(next, wait);
     if (result.isOk) return result.value;
     if (result.error === "expired") next = undefined;
@@ -91,12 +91,15 @@
     isUnavailable = true;
   }
 
-  function applyResult(result: KeyedReading, requestedAt: DataTimestamp): void {
+  function applyResult(
+    result: TopicReadResult,
+    requestedAt: DataTimestamp,
+  ): void {
     if (isUnavailable) sink.handleAvailable();
     isUnavailable = false;
     readAt = clock.now();
     backoff = MIN_BACKOFF;
-    const isSnapshot = next === undefined || result.isNewest === true;
+    const isSnapshot = next === undefined || result.isSnapshot === true;
     if (era !== undefined && result.next.era !== era) sink.handleRestored();
     era = result.next.era;
     if (isSnapshot) sink.replaceAll(result.records);
--- a/packages/serving/src/keyed_follower_test.ts
+++ b/packages/serving/src/keyed_follower_test.ts
@@ -2,12 +2,12 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import { followTopic } from "./keyed_follower.ts";
-import type { KeyedFault, KeyedReading } from "./serving_handles.ts";
+import type { TopicReadError, TopicReadResult } from "./serving_handles.ts";
 import { createPosition } from "./test_support.ts";
 
-type Script = (KeyedReading | KeyedFault)[];
+type Script = (TopicReadResult | TopicReadError)[];
 
-function createResult(next: number, ...keys: string[]): KeyedReading {
+function createResult(next: number, ...keys: string[]): TopicReadResult {
   return {
     records: keys.map((key) => ({ key, value: key })),
     next: createPosition(next),
@@ -22,7 +22,7 @@
     const take = (script: Script) => {
       const step = script.shift();
       if (step === undefined) controller.abort();
-      return Promise.resolve<Result<KeyedReading, KeyedFault>>(
+      return Promise.resolve<Result<TopicReadResult, TopicReadError>>(
         typeof step === "object" ? Result.ok(step) : Result.err(
           step ?? "unavailable",
         ),
@@ -33,7 +33,7 @@
       random: () => 0.5,
       signal: controller.signal,
       source: {
-        readNewest: () => take(newest),
+        readSnapshot: () => take(newest),
         readFrom({ era, offset }) {
           seen.push(`from ${offset}${era > 0 ? ` of era ${era}` : ""}`);
           return take(changes);
@@ -127,7 +127,7 @@
       random: () => 0.5,
       signal: controller.signal,
       source: {
-        readNewest: () =>
+        readSnapshot: () =>
           Promise.resolve(Result.ok({ ...createResult(1), age: 700 })),
         readFrom: () => Promise.resolve(Result.err("unavailable")),
       },
--- a/packages/serving/src/member_registry.ts
+++ b/packages/serving/src/member_registry.ts
@@ -9,7 +9,7 @@
 import type { PeerRecord } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { Result } from "true-myth";
-import type { KeyedRecord, KeyedSource } from "./serving_handles.ts";
+import type { TopicRecord, TopicSource } from "./serving_handles.ts";
 
 /** The records of entries in the platform's store. */
 export interface MemberStore {
@@ -17,9 +17,9 @@
   /** Writes that an entry is leaving, which removes its record. */
   withdraw(record: PeerRecord): Promise<Result<null, string>>;
   /** The records of all entries; some entries may have ended. */
-  readonly source: KeyedSource;
+  readonly source: TopicSource;
   /** Returns undefined for a record of another writer. */
-  decode(record: KeyedRecord): PeerRecord | undefined;
+  decode(record: TopicRecord): PeerRecord | undefined;
 }
 
 /** Options of {@linkcode publishEntry}. */
@@ -51,9 +51,9 @@
   /**
    * Applies a snapshot with the newest record of every entry; some may be old.
    */
-  replaceAll(records: readonly KeyedRecord[]): void;
+  replaceAll(records: readonly TopicRecord[]): void;
   /** Applies a record that was written a moment ago. */
-  apply(record: KeyedRecord): void;
+  apply(record: TopicRecord): void;
   /** Lists the control addresses of all entries in the store. */
   listAddresses(): readonly string[];
 }
@@ -74,7 +74,7 @@
   /** Control addresses by record key. */
   const addresses = new Map<string, string>();
 
-  function decodeKnown(record: KeyedRecord): PeerRecord[] {
+  function decodeKnown(record: TopicRecord): PeerRecord[] {
     const member = record.value === undefined ? undefined : decode(record);
     if (member === undefined) addresses.delete(record.key);
     else addresses.set(record.key, member.controlAddress);
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import { createMemberRegistry, publishEntry } from "./member_registry.ts";
-import type { KeyedRecord } from "./serving_handles.ts";
+import type { TopicRecord } from "./serving_handles.ts";
 import { createTestPeer } from "./test_support.ts";
 
 describe("registry of members", () => {
@@ -46,7 +46,7 @@
     return { registry, events };
   }
 
-  const record = (key: string, value?: string): KeyedRecord => ({ key, value });
+  const record = (key: string, value?: string): TopicRecord => ({ key, value });
 
   it("distinguishes snapshot records from new ones", () => {
     const { registry, events } = create();
--- a/packages/serving/src/mod.ts
+++ b/packages/serving/src/mod.ts
@@ -10,13 +10,9 @@
   EndpointAnswer,
   EndpointCall,
   EndpointReply,
+  ForwardedRequest,
   HeaderList,
-  KeyedFault,
-  KeyedReading,
-  KeyedRecord,
-  KeyedSource,
   NotRunReason,
-  PassedRequest,
   RequestHead,
   Signalled,
   StageCall,
@@ -24,6 +20,10 @@
   StageReply,
   StageResult,
   TopicPosition,
+  TopicReadError,
+  TopicReadResult,
+  TopicRecord,
+  TopicSource,
 } from "./serving_handles.ts";
 export type { EncodeFailure } from "./caller_response.ts";
 export type { MemberStore } from "./member_registry.ts";
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_news.ts
@@ -28,7 +28,7 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { MemberRegistry, MemberStore } from "./member_registry.ts";
 import { createMemberRegistry, publishEntry } from "./member_registry.ts";
-import type { QuarantineNews } from "./quarantine_news.ts";
+import type { QuarantineGossip } from "./quarantine_news.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingSettings } from "./serving_options.ts";
 
@@ -55,7 +55,7 @@
   recordPeerVersion: (version: number) => void;
   limits: Pick<EndpointLimits, "chooseUpdates" | "applyUpdate">;
   /** Source and receiver of updates about quarantined contents. */
-  quarantine: Pick<QuarantineNews, "readNews" | "takeNews">;
+  quarantine: Pick<QuarantineGossip, "readUpdate" | "applyUpdate">;
 }
 
 /** The membership and gossip of one entry. */
@@ -192,8 +192,8 @@
       },
       chooseLimitNews: options.limits.chooseUpdates,
       noteLimitNews: options.limits.applyUpdate,
-      readPoisonNews: options.quarantine.readNews,
-      notePoisonNews: options.quarantine.takeNews,
+      readPoisonNews: options.quarantine.readUpdate,
+      notePoisonNews: options.quarantine.applyUpdate,
       onIntroduced: recordPeer,
       onHeartbeat: recordPeer,
       onReply: () => Promise.resolve(),
--- a/packages/serving/src/peer_penalties.ts
+++ b/packages/serving/src/peer_penalties.ts
@@ -14,7 +14,7 @@
 /** Back-off for each peer, by its address. */
 export interface PeerBackoff {
   isUsable(address: string): boolean;
-  note(address: string, kind: BackoffReason): void;
+  record(address: string, kind: BackoffReason): void;
   clear(address: string): void;
 }
 
@@ -33,13 +33,13 @@
 };
 
 /** Creates the back-off; every peer is usable at first. */
-export function createPeerPenalties(clock: Clock): PeerBackoff {
+export function createPeerBackoff(clock: Clock): PeerBackoff {
   const backoffs = new Map<string, Backoff>();
 
   return {
     isUsable: (address) =>
       (backoffs.get(address)?.until ?? -Infinity) <= clock.now(),
-    note(address, kind) {
+    record(address, kind) {
       const { first, longest } = BACKOFF_LIMITS[kind];
       const last = backoffs.get(address)?.duration ?? 0;
       const duration = Math.min(longest, Math.max(first, 2 * last));
--- a/packages/serving/src/peer_reader.ts
+++ b/packages/serving/src/peer_reader.ts
@@ -10,9 +10,9 @@
 import type { TopicName, TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import { createFallbackPeers } from "./fallback_peers.ts";
-import { createPeerPenalties } from "./peer_penalties.ts";
+import { createPeerBackoff } from "./peer_penalties.ts";
 import type { ReadTracker } from "./reading_watch.ts";
-import type { KeyedReading, TopicPosition } from "./serving_handles.ts";
+import type { TopicPosition, TopicReadResult } from "./serving_handles.ts";
 import type { TopicTiming } from "./topic_pace.ts";
 
 /** Options of {@linkcode createPeerReader}. */
@@ -32,7 +32,7 @@
 /** The result of a read from a peer. */
 export interface PeerReadResult {
   address: string;
-  result: KeyedReading;
+  result: TopicReadResult;
   /** When the store last confirmed the data, by this entry's clock. */
   confirmedAt: Millis;
 }
@@ -99,7 +99,7 @@
 export function createPeerReader(
   { clock, random, topic, request, timing, reads }: PeerReaderOptions,
 ): PeerReader {
-  const penalties = createPeerPenalties(clock);
+  const penalties = createPeerBackoff(clock);
   const fallback = createFallbackPeers({ clock, random });
   /** When the store confirmed the data that this entry read last. */
   let confirmedAt: Millis | undefined;
@@ -131,7 +131,7 @@
     const end = reads.begin("peer", address);
     const reply = await request(address, { topic, ...query });
     if (reply === undefined) {
-      penalties.note(address, "silent");
+      penalties.record(address, "silent");
       return void end("silent");
     }
     if (reply.kind === "unknown") return void end("unknown");
@@ -139,14 +139,14 @@
     if (!isFreshEnough(requestedAt - age)) return void end("old");
     end("read");
     penalties.clear(address);
-    const result: KeyedReading = {
+    const result: TopicReadResult = {
       records: records.map(({ key, value, offset }) => ({
         key,
         value,
         offset,
       })),
       next,
-      isNewest: kind === "newest",
+      isSnapshot: kind === "newest",
       isRelayed: true,
     };
     return { address, result, confirmedAt: requestedAt - age };
@@ -154,7 +154,7 @@
 
   /** Not called for peers asked in a search, which has its own back-off. */
   function recordUnusable(parent: string): void {
-    if (penalties.isUsable(parent)) penalties.note(parent, "old");
+    if (penalties.isUsable(parent)) penalties.record(parent, "old");
   }
 
   async function readAtParents(
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_parts.ts
@@ -23,7 +23,7 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { EndpointCheck } from "./endpoint_check.ts";
 import type { EndpointLoads } from "./endpoint_load.ts";
-import type { NoteSignals } from "./endpoint_signals.ts";
+import type { SignalHandler } from "./endpoint_signals.ts";
 import type { StageEndpoints } from "./serving_handles.ts";
 import type { StageDispatcher } from "./stage_dispatcher.ts";
 import { createStageDispatcher } from "./stage_dispatcher.ts";
@@ -38,7 +38,7 @@
   listUsable: (pool: string) => readonly EndpointInfo[];
   /** Marks an endpoint whose address now belongs to another instance. */
   markLeaving: (endpointKey: string) => void;
-  handleSignals: NoteSignals;
+  handleSignals: SignalHandler;
   allowance: SendAllowance;
   /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
--- a/packages/serving/src/quarantine_news.ts
+++ b/packages/serving/src/quarantine_news.ts
@@ -23,9 +23,9 @@
 import type { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
 import type { QuarantineStore } from "./quarantine_store.ts";
-import type { KeyedRecord } from "./serving_handles.ts";
+import type { TopicRecord } from "./serving_handles.ts";
 
-/** Options of {@linkcode createQuarantineNews}. */
+/** Options of {@linkcode createQuarantineGossip}. */
 export interface QuarantineGossipOptions {
   clock: Clock;
   random: () => number;
@@ -42,7 +42,7 @@
 }
 
 /** Shares quarantines with peers and the store, for one entry. */
-export interface QuarantineNews {
+export interface QuarantineGossip {
   /** Records a crash locally and reports it to the aggregators. */
   recordCrash(run: CrashedRun): void;
   /** Records a completed run; reports it if the content was suspected here. */
@@ -50,14 +50,14 @@
   /** Aggregates a peer's report; the reply lists contents quarantined by it. */
   answer(report: RunReport): RunReportReply;
   /** Applies records of the store; records about something else are ignored. */
-  takeRecords(records: readonly KeyedRecord[]): void;
+  applyRecords(records: readonly TopicRecord[]): void;
   /** Returns the update to gossip; undefined if there is nothing to send. */
-  readNews(): PoisonNews | undefined;
-  takeNews(news: PoisonNews): void;
+  readUpdate(): PoisonNews | undefined;
+  applyUpdate(news: PoisonNews): void;
   /** Writes the records again that a restored store may lack. */
-  publishAgain(): void;
+  republish(): void;
   /** Releases contents whose quarantine expired; ends with the signal. */
-  watchTerms(): Promise<void>;
+  releaseExpired(): Promise<void>;
 }
 
 /** One aggregator may be frozen, and another partitioned or not yet known. */
@@ -83,9 +83,9 @@
 }
 
 /** Creates the gossip of one entry. */
-export function createQuarantineNews(
+export function createQuarantineGossip(
   options: QuarantineGossipOptions,
-): QuarantineNews {
+): QuarantineGossip {
   const { clock, random, log, quarantine, store, membership, signal } = options;
   /** By the control address of the peer. */
   let pending = new Map<string, PendingReport>();
@@ -175,7 +175,7 @@
   function handleQuarantined(found: QuarantinedContent | undefined): void {
     if (found === undefined) return;
     recordChange(found, "found");
-    void writeStore(() => store.announce(found));
+    void writeStore(() => store.publish(found));
   }
 
   /** Returns whether it was suspected here. */
@@ -184,7 +184,7 @@
     const wasSuspected = quarantine.recordCompletion(content);
     if (wasQuarantined) {
       log.record("quarantine_changed", { content, outcome: "completed" });
-      void writeStore(() => store.withdraw(content));
+      void writeStore(() => store.remove(content));
     }
     return wasSuspected;
   }
@@ -224,7 +224,7 @@
     }
   }
 
-  function applyRecords(records: readonly KeyedRecord[]): void {
+  function applyRecords(records: readonly TopicRecord[]): void {
     for (const record of records) {
       const decoded = store.decode(record);
       if (decoded === undefined) continue;
@@ -254,7 +254,7 @@
   function publishRecent(): void {
     for (const found of quarantine.chooseQuarantined(MAX_REPUBLISHED)) {
       const isAggregator = listAggregators(found.content).some(isSelf);
-      if (isAggregator) void writeStore(() => store.announce(found));
+      if (isAggregator) void writeStore(() => store.publish(found));
     }
   }
 
@@ -264,7 +264,7 @@
       for (const content of quarantine.releaseExpired()) {
         log.record("quarantine_changed", { content, outcome: "lapsed" });
         const isAggregator = listAggregators(content).some(isSelf);
-        if (isAggregator) void writeStore(() => store.withdraw(content));
+        if (isAggregator) void writeStore(() => store.remove(content));
       }
     }
   }
@@ -273,10 +273,10 @@
     recordCrash,
     recordCompletion,
     answer: handleReport,
-    takeRecords: applyRecords,
-    readNews: readUpdate,
-    takeNews: applyUpdate,
-    publishAgain: publishRecent,
-    watchTerms: releaseExpired,
+    applyRecords,
+    readUpdate,
+    applyUpdate,
+    republish: publishRecent,
+    releaseExpired,
   };
 }
--- a/packages/serving/src/quarantine_store.ts
+++ b/packages/serving/src/quarantine_store.ts
@@ -6,7 +6,7 @@
  */
 import type { QuarantinedContent } from "@mangoreach/coordination";
 import type { Result } from "true-myth";
-import type { KeyedRecord } from "./serving_handles.ts";
+import type { TopicRecord } from "./serving_handles.ts";
 
 /** A decoded record of the store. */
 export interface QuarantineRecord {
@@ -17,8 +17,8 @@
 
 /** Quarantine records in the store, in the topic of the entries' records. */
 export interface QuarantineStore {
-  announce(quarantined: QuarantinedContent): Promise<Result<null, string>>;
-  withdraw(content: string): Promise<Result<null, string>>;
+  publish(quarantined: QuarantinedContent): Promise<Result<null, string>>;
+  remove(content: string): Promise<Result<null, string>>;
   /** Undefined if the record is about something else. */
-  decode(record: KeyedRecord): QuarantineRecord | undefined;
+  decode(record: TopicRecord): QuarantineRecord | undefined;
 }
--- a/packages/serving/src/request_service.ts
+++ b/packages/serving/src/request_service.ts
@@ -19,7 +19,7 @@
 import type { CallerResponse } from "./caller_response.ts";
 import type { AdmittedRoute } from "./request_admission.ts";
 import { admitRequest } from "./request_admission.ts";
-import type { PassedRequest } from "./serving_handles.ts";
+import type { ForwardedRequest } from "./serving_handles.ts";
 import type { ServingState } from "./serving_state.ts";
 import { findInfeasible } from "./stage_admission.ts";
 import type { StageResults } from "./stage_graph.ts";
@@ -27,7 +27,7 @@
 
 /** A request with the response to its caller. */
 export interface RequestContext {
-  request: PassedRequest;
+  request: ForwardedRequest;
   response: CallerResponse;
   /** When its head was read. */
   receivedAt: Millis;
@@ -60,8 +60,10 @@
     budget: Math.min(request.head.budget, route.timeout) - elapsed,
   });
   const onDisconnected = () => deadline.cancel("caller_gone");
-  response.gone.addEventListener("abort", onDisconnected, { once: true });
-  if (response.gone.aborted) onDisconnected();
+  response.disconnected.addEventListener("abort", onDisconnected, {
+    once: true,
+  });
+  if (response.disconnected.aborted) onDisconnected();
   const onShutdown = () => deadline.cancel("shutdown");
   state.shutdown.addEventListener("abort", onShutdown, { once: true });
   const outcome = await runAdmittedRequest(state, context, {
@@ -88,7 +90,7 @@
 ): Promise<AttemptOutcome> {
   const { request, response } = context;
   const { account } = admitted;
-  const refusal = state.runWatch.findRefusal({ request, account });
+  const refusal = state.crashDetector.findRefusal({ request, account });
   if (refusal !== undefined) return { failure: refusal, attempts: 0 };
   state.findBudget(admitted.pool).deposit();
   let results: StageResults | undefined;
@@ -122,8 +124,7 @@
   { request, receivedAt }: RequestContext,
   { admitted, deadline }: AdmittedRequest,
 ): Promise<Result<StageResults, Failure>> {
-  const { clock, log, router, random, callerElapsed, runWatch: crashDetector } =
-    state;
+  const { clock, log, router, random, callerElapsed, crashDetector } = state;
   const { route, table, rank, account } = admitted;
   const promptTokens = sumTokens(request.head.promptParts);
   // With just enough time left, a request misses its objective at the smallest
@@ -175,10 +176,10 @@
     durations,
     readLifetime: (pool) =>
       table.findPool(pool)?.batching?.resultLifetime ?? Infinity,
-    readPlace: (result) => state.findPlace(state.readMaker(result)),
+    readPlace: (result) => state.findPlace(state.findProducer(result)),
     place,
     recordCrashes: (ends) =>
-      crashDetector.noteStageEnds({ request, account }, ends),
+      crashDetector.recordStageCrashes({ request, account }, ends),
     signal: deadline.signal,
   });
 }
@@ -237,6 +238,6 @@
     failure: failure?.kind,
     verdict: failure?.verdict,
     retryAfter: failure?.retryAfterMs,
-    callerGone: response.gone.aborted || undefined,
+    callerGone: response.disconnected.aborted || undefined,
   });
 }
--- a/packages/serving/src/run_watch.ts
+++ b/packages/serving/src/run_watch.ts
@@ -18,12 +18,12 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { DecisionLog } from "./decision_log.ts";
 import type { EndpointCheck } from "./endpoint_check.ts";
-import type { QuarantineNews } from "./quarantine_news.ts";
-import type { PassedRequest } from "./serving_handles.ts";
+import type { QuarantineGossip } from "./quarantine_news.ts";
+import type { ForwardedRequest } from "./serving_handles.ts";
 
 /** A request with the client account that sent it. */
 export interface TrackedRequest {
-  request: PassedRequest;
+  request: ForwardedRequest;
   /** The client account; undefined where there are none. */
   account: string | undefined;
 }
@@ -37,28 +37,31 @@
 /** Tracks the runs of one entry. */
 export interface CrashDetector {
   /** Resolves once the endpoint was checked and a crash was recorded. */
-  noteBroken(run: BrokenRun): Promise<void>;
+  handleBrokenRun(run: BrokenRun): Promise<void>;
   /** Records crashes of stage endpoints that their dispatcher found. */
-  noteStageEnds(tracked: TrackedRequest, ends: readonly EndpointEnd[]): void;
-  noteCompleted(tracked: TrackedRequest): void;
+  recordStageCrashes(
+    tracked: TrackedRequest,
+    ends: readonly EndpointEnd[],
+  ): void;
+  recordCompletion(tracked: TrackedRequest): void;
   /** Returns the refusal of a quarantined request; undefined if it may run. */
   findRefusal(tracked: TrackedRequest): Failure | undefined;
 }
 
-/** Options of {@linkcode createRunWatch}. */
+/** Options of {@linkcode createCrashDetector}. */
 export interface CrashDetectorOptions {
   clock: Clock;
   log: DecisionLog;
   endpointCheck: EndpointCheck;
   quarantine: Pick<PoisonQuarantine, "isEmpty" | "readTimeLeft">;
-  news: Pick<QuarantineNews, "recordCrash" | "recordCompletion">;
+  gossip: Pick<QuarantineGossip, "recordCrash" | "recordCompletion">;
 }
 
 /** Creates the detector of one entry. */
-export function createRunWatch(
-  { clock, log, endpointCheck, quarantine, news: gossip }: CrashDetectorOptions,
+export function createCrashDetector(
+  { clock, log, endpointCheck, quarantine, gossip }: CrashDetectorOptions,
 ): CrashDetector {
-  const digests = new WeakMap<PassedRequest, string>();
+  const digests = new WeakMap<ForwardedRequest, string>();
 
   function computeDigest({ request, account }: TrackedRequest): string {
     const cached = digests.get(request);
@@ -125,9 +128,9 @@
   }
 
   return {
-    noteBroken: handleBrokenRun,
-    noteStageEnds: recordStageCrashes,
-    noteCompleted: recordCompletion,
+    handleBrokenRun,
+    recordStageCrashes,
+    recordCompletion,
     findRefusal,
   };
 }
--- a/packages/serving/src/run_watch_test.ts
+++ b/packages/serving/src/run_watch_test.ts
@@ -6,7 +6,7 @@
 import { createSilentDecisionLog } from "./decision_log.ts";
 import type { EndpointCondition } from "./endpoint_check.ts";
 import type { TrackedRequest } from "./run_watch.ts";
-import { createRunWatch } from "./run_watch.ts";
+import { createCrashDetector } from "./run_watch.ts";
 import { createTestEndpoint, createTestHead } from "./test_support.ts";
 
 function createTracked(
@@ -20,7 +20,7 @@
   const ended: CrashedRun[] = [];
   const completed: string[] = [];
   const quarantine = createPoisonQuarantine(clock);
-  const detector = createRunWatch({
+  const detector = createCrashDetector({
     clock,
     log: createSilentDecisionLog(),
     endpointCheck: {
@@ -30,7 +30,7 @@
       },
     },
     quarantine,
-    news: {
+    gossip: {
       recordCrash: (run) => ended.push(run),
       recordCompletion: (content) => completed.push(content),
     },
@@ -43,7 +43,7 @@
     const clock = createFakeClock(0);
     const { detector, ended } = createDetector(clock, condition);
     await clock.advance(300);
-    const noted = detector.noteBroken({
+    const noted = detector.handleBrokenRun({
       ...createTracked(),
       endpoint: createTestEndpoint("e1"),
       sentAt: 100,
@@ -71,7 +71,7 @@
   it("identifies content by path, account and body, not by id", async () => {
     const clock = createFakeClock(0);
     const { detector, ended, quarantine } = createDetector(clock, "ended");
-    const noted = detector.noteBroken({
+    const noted = detector.handleBrokenRun({
       ...createTracked(),
       endpoint: createTestEndpoint("e1"),
       sentAt: 0,
@@ -106,7 +106,7 @@
 
   it("computes no digests while no content is suspected", () => {
     const { detector, completed } = createDetector(createFakeClock(0), "ended");
-    detector.noteCompleted(createTracked());
+    detector.recordCompletion(createTracked());
     expect(completed).to.deep.equal([]);
     expect(detector.findRefusal(createTracked())).to.equal(undefined);
   });
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -33,13 +33,13 @@
 import { createDecisionLog } from "./decision_log.ts";
 import { createEndpointCheck } from "./endpoint_check.ts";
 import { createEndpointLoads } from "./endpoint_load.ts";
-import { createSignalNotes } from "./endpoint_signals.ts";
+import { createSignalHandler } from "./endpoint_signals.ts";
 import { createPeerGossip } from "./peer_news.ts";
 import { createPieceRouter } from "./piece_router.ts";
 import { createPoolComponents } from "./pool_parts.ts";
-import { createQuarantineNews } from "./quarantine_news.ts";
+import { createQuarantineGossip } from "./quarantine_news.ts";
 import { serveRequest } from "./request_service.ts";
-import { createRunWatch } from "./run_watch.ts";
+import { createCrashDetector } from "./run_watch.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingEntryOptions } from "./serving_options.ts";
 import type { ServingState } from "./serving_state.ts";
@@ -152,16 +152,16 @@
     onRestored() {
       if (phase !== "open") return;
       void gossip.republish(signal);
-      quarantineNews.publishAgain();
+      quarantineNews.republish();
     },
     members: {
       replaceAll(records) {
         gossip.registry.replaceAll(records);
-        quarantineNews.takeRecords(records);
+        quarantineNews.applyRecords(records);
       },
       apply(record) {
         gossip.registry.apply(record);
-        quarantineNews.takeRecords([record]);
+        quarantineNews.applyRecords([record]);
       },
     },
   });
@@ -212,8 +212,8 @@
       applyUpdate: (limitNews) => limits.applyUpdate(limitNews),
     },
     quarantine: {
-      readNews: () => quarantineNews.readNews(),
-      takeNews: (poison) => quarantineNews.takeNews(poison),
+      readUpdate: () => quarantineNews.readUpdate(),
+      applyUpdate: (poison) => quarantineNews.applyUpdate(poison),
     },
   });
   const { membership, peers } = gossip;
@@ -226,7 +226,7 @@
   });
 
   const quarantine = createPoisonQuarantine(clock);
-  const quarantineNews = createQuarantineNews({
+  const quarantineNews = createQuarantineGossip({
     clock,
     random,
     log,
@@ -271,7 +271,7 @@
     }),
   });
   const { listAt } = siteState;
-  const noteSignals = createSignalNotes({
+  const noteSignals = createSignalHandler({
     log,
     metrics,
     limits,
@@ -307,7 +307,7 @@
     findDispatcher,
     listUsable: directory.listUsable,
     readPlace: (result) =>
-      siteState.findPlace(platform.stages.readMaker(result)),
+      siteState.findPlace(platform.stages.findProducer(result)),
   });
 
   const state: ServingState = {
@@ -323,18 +323,18 @@
     directory,
     loads,
     sendAllowance: allowance,
-    noteSignals,
-    noteUnreachable: siteState.recordUnreachable,
+    handleSignals: noteSignals,
+    recordUnreachable: siteState.recordUnreachable,
     router,
     callEndpoint: platform.callEndpoint,
-    runWatch: createRunWatch({
+    crashDetector: createCrashDetector({
       clock,
       log,
       endpointCheck,
       quarantine,
-      news: quarantineNews,
+      gossip: quarantineNews,
     }),
-    readMaker: platform.stages.readMaker,
+    findProducer: platform.stages.findProducer,
     findPlace: siteState.findPlace,
     findBudget: pools.findBudget,
     findDelays: pools.findDelays,
@@ -401,7 +401,7 @@
     })
   );
 
-  quarantineNews.watchTerms().catch((error) =>
+  quarantineNews.releaseExpired().catch((error) =>
     logger.error("Quarantine expiry check failed.", {
       error: String(error),
     })
--- a/packages/serving/src/serving_handles.ts
+++ b/packages/serving/src/serving_handles.ts
@@ -35,11 +35,11 @@
   pieceCounts: readonly number[];
   pieceKey: string | undefined;
   /** Headers that are forwarded to the endpoint unchanged. */
-  passedHeaders: HeaderList;
+  forwardedHeaders: HeaderList;
 }
 
 /** A complete request of a caller, as it is forwarded to endpoints. */
-export interface PassedRequest {
+export interface ForwardedRequest {
   head: RequestHead;
   body: Buffer;
 }
@@ -47,7 +47,7 @@
 /** One attempt at one endpoint. */
 export interface EndpointCall {
   endpoint: EndpointInfo;
-  request: PassedRequest;
+  request: ForwardedRequest;
   /** Time left until the deadline. */
   remaining: Millis;
   /** The client account; undefined on public routes or without accounts. */
@@ -133,17 +133,17 @@
     results: readonly string[],
   ): Promise<Signalled>;
   /** Returns the address of the endpoint that stores a result. */
-  readMaker(result: string): string;
+  findProducer(result: string): string;
 }
 
 /** A record of a compacted topic; without a value the key was deleted. */
-export interface KeyedRecord {
+export interface TopicRecord {
   key: string;
   value: string | undefined;
 }
 
 /** A record with its position in the topic. */
-export interface PositionedRecord extends KeyedRecord {
+export interface PositionedRecord extends TopicRecord {
   /** The store's offset; missing if the records are consecutive. */
   offset?: number | undefined;
 }
@@ -159,12 +159,12 @@
 }
 
 /** The result of a read from a compacted topic. */
-export interface KeyedReading {
+export interface TopicReadResult {
   records: readonly PositionedRecord[];
   /** The position of the next read. */
   next: TopicPosition;
   /** A snapshot with the newest record of every key, instead of changes. */
-  isNewest?: boolean;
+  isSnapshot?: boolean;
   /** Relayed by another entry, which batches changes. */
   isRelayed?: boolean;
   /**
@@ -175,7 +175,7 @@
 }
 
 /** Why a topic could not be read. */
-export type KeyedFault =
+export type TopicReadError =
   /**
    * The records from this offset on are no longer available, or the position is
    * of an earlier era: read a snapshot.
@@ -184,12 +184,12 @@
   | "unavailable";
 
 /** Reads a compacted topic, which keeps the newest record of each key. */
-export interface KeyedSource {
+export interface TopicSource {
   /** Reads a snapshot: the newest record of every key. */
-  readNewest(): Promise<Result<KeyedReading, KeyedFault>>;
+  readSnapshot(): Promise<Result<TopicReadResult, TopicReadError>>;
   /** Reads records from a position; waits up to `wait` for the first one. */
   readFrom(
     position: TopicPosition,
     wait: Millis,
-  ): Promise<Result<KeyedReading, KeyedFault>>;
+  ): Promise<Result<TopicReadResult, TopicReadError>>;
 }
--- a/packages/serving/src/serving_options.ts
+++ b/packages/serving/src/serving_options.ts
@@ -22,10 +22,10 @@
 import type { QuarantineStore } from "./quarantine_store.ts";
 import type {
   CallEndpoint,
-  KeyedRecord,
-  KeyedSource,
   RequestHead,
   StageEndpoints,
+  TopicRecord,
+  TopicSource,
 } from "./serving_handles.ts";
 
 /** Settings of one entry. */
@@ -51,14 +51,14 @@
 
 /** The platform that an entry runs on. */
 export interface ServingPlatform {
-  configSource: KeyedSource;
+  configSource: TopicSource;
   /** The key of the configuration's record in its topic. */
   configKey: string;
   decodeConfig: (value: string) => Result<ServingConfig, string>;
   /** Returns the place if a key of the same topic marks its evacuation. */
   readEvacuatedPlace: (key: string) => string | undefined;
-  endpointSource: KeyedSource;
-  decodeEndpoint: (record: KeyedRecord) => Result<EndpointInfo, string>;
+  endpointSource: TopicSource;
+  decodeEndpoint: (record: TopicRecord) => Result<EndpointInfo, string>;
   members: MemberStore;
   quarantine: QuarantineStore;
   callEndpoint: CallEndpoint;
--- a/packages/serving/src/serving_state.ts
+++ b/packages/serving/src/serving_state.ts
@@ -20,7 +20,7 @@
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { PieceRouter } from "./piece_router.ts";
 import type { CrashDetector } from "./run_watch.ts";
-import type { NoteSignals } from "./endpoint_signals.ts";
+import type { SignalHandler } from "./endpoint_signals.ts";
 import type { CallEndpoint } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 
@@ -42,14 +42,14 @@
   loads: EndpointLoads;
   sendAllowance: SendAllowance;
   /** Handles the back-pressure signals of an endpoint's answer. */
-  noteSignals: NoteSignals;
+  handleSignals: SignalHandler;
   /** Records that nothing listened at an endpoint's address. */
-  noteUnreachable: (endpoint: EndpointInfo) => void;
+  recordUnreachable: (endpoint: EndpointInfo) => void;
   router: PieceRouter;
   callEndpoint: CallEndpoint;
-  runWatch: CrashDetector;
+  crashDetector: CrashDetector;
   /** Returns the address of the endpoint that stores a result. */
-  readMaker: (result: string) => string;
+  findProducer: (result: string) => string;
   /** Returns the place of the endpoint at an address, if it is known. */
   findPlace: (address: string) => string | undefined;
   findBudget: (pool: string) => RetryBudget;
--- a/packages/serving/src/shared_source.ts
+++ b/packages/serving/src/shared_source.ts
@@ -15,17 +15,17 @@
 import { createPeerReader } from "./peer_reader.ts";
 import type { ReadTracker } from "./reading_watch.ts";
 import type {
-  KeyedFault,
-  KeyedReading,
-  KeyedSource,
   TopicPosition,
+  TopicReadError,
+  TopicReadResult,
+  TopicSource,
 } from "./serving_handles.ts";
 import { createStoreHealth } from "./store_access.ts";
 import type { TopicTiming } from "./topic_pace.ts";
 import type { TopicParents } from "./topic_readers.ts";
 
 /** A topic source that entries share. */
-export interface RelayedSource extends KeyedSource {
+export interface RelayedSource extends TopicSource {
   /**
    * Whether peers may read from this entry; false for a store reader that
    * cannot reach the store.
@@ -39,7 +39,7 @@
   random: () => number;
   topic: TopicName;
   /** The store. */
-  source: KeyedSource;
+  source: TopicSource;
   /** Returns the entries to read from before the store. */
   chooseParents: () => TopicParents;
   /** Resolves to undefined if the entry does not answer. */
@@ -122,7 +122,7 @@
   }
 
   async function trackStoreRead(
-    read: () => Promise<Result<KeyedReading, KeyedFault>>,
+    read: () => Promise<Result<TopicReadResult, TopicReadError>>,
   ) {
     const end = reads.begin("store");
     const requestedAt = clock.now();
@@ -161,7 +161,7 @@
     // fresh as the end of the wait.
     const age = took < shortened ? 0 : -shortened;
     peers.recordConfirmed(requestedAt - age);
-    return Result.ok<KeyedReading, KeyedFault>({ ...result.value, age });
+    return Result.ok<TopicReadResult, TopicReadError>({ ...result.value, age });
   }
 
   /** Resolves to undefined if there is no result within the limit. */
@@ -183,7 +183,7 @@
   function acceptPeerResult(
     { result, confirmedAt }: PeerReadResult,
     startedAt: Millis,
-  ): Result<KeyedReading, KeyedFault> {
+  ): Result<TopicReadResult, TopicReadError> {
     peers.recordConfirmed(confirmedAt);
     return Result.ok({ ...result, age: startedAt - confirmedAt });
   }
@@ -193,14 +193,14 @@
    * gets no response from the store thus has data before its call times out.
    */
   async function readStoreOrPeers(
-    stored: Promise<Result<KeyedReading, KeyedFault>>,
+    stored: Promise<Result<TopicReadResult, TopicReadError>>,
     { from, timeout, parents, startedAt }: {
       from: TopicPosition;
       timeout: Millis;
       parents: TopicParents;
       startedAt: Millis;
     },
-  ): Promise<Result<KeyedReading, KeyedFault>> {
+  ): Promise<Result<TopicReadResult, TopicReadError>> {
     for (let limit = timeout;; limit = PEER_FALLBACK_DELAY) {
       const outcome = await waitAtMost(stored, limit);
       if (outcome !== undefined && isStoreResponse(outcome)) return outcome;
@@ -215,7 +215,7 @@
   async function readAsReader(
     from: TopicPosition,
     { storeWait, parents }: { storeWait: Millis; parents: TopicParents },
-  ): Promise<Result<KeyedReading, KeyedFault>> {
+  ): Promise<Result<TopicReadResult, TopicReadError>> {
     const startedAt = clock.now();
     // A store that is as slow as at the last read is not taken for unreachable.
     const timeout = storeWait + storeDelay + READER_GRACE;
@@ -237,7 +237,7 @@
   async function callStoreAsFallback(
     from: TopicPosition,
     startedAt: Millis,
-  ): Promise<Result<KeyedReading, KeyedFault>> {
+  ): Promise<Result<TopicReadResult, TopicReadError>> {
     const calledAt = clock.now();
     const result = await callStore(from, 0);
     return result.map((value) => ({ ...value, age: startedAt - calledAt }));
@@ -257,7 +257,7 @@
   async function readFrom(
     from: TopicPosition,
     storeWait: Millis,
-  ): Promise<Result<KeyedReading, KeyedFault>> {
+  ): Promise<Result<TopicReadResult, TopicReadError>> {
     const parents = chooseParents();
     wasReader = parents.isReader;
     if (parents.isReader && !storeHealth.isUnreachable()) {
@@ -290,7 +290,7 @@
   }
 
   return {
-    readNewest: () => trackStoreRead(() => source.readNewest()),
+    readSnapshot: () => trackStoreRead(() => source.readSnapshot()),
     readFrom,
     // A peer that took this entry's stale data for the store's would not read
     // the store itself.
@@ -301,6 +301,8 @@
 /**
  * Whether the store responded, even if only to say that the records are gone.
  */
-function isStoreResponse(result: Result<KeyedReading, KeyedFault>): boolean {
+function isStoreResponse(
+  result: Result<TopicReadResult, TopicReadError>,
+): boolean {
   return result.isOk || result.error === "expired";
 }
--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/shared_source_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
-import type { KeyedReading } from "./serving_handles.ts";
+import type { TopicReadResult } from "./serving_handles.ts";
 import { createRelayedSource } from "./shared_source.ts";
 import { createReadTracker } from "./reading_watch.ts";
 import { createPosition } from "./test_support.ts";
@@ -46,14 +46,14 @@
       random: () => 0.5,
       topic: "config",
       source: {
-        readNewest: () => Promise.resolve(Result.err("unavailable")),
+        readSnapshot: () => Promise.resolve(Result.err("unavailable")),
         async readFrom(from, wait) {
           asked.push("store");
           if (isStoreAway) return Result.err("unavailable");
           const delay = storeDelays[waits.length];
           waits.push(wait);
           if (delay !== undefined) await clock.sleep(delay);
-          return Result.ok<KeyedReading, never>({ records: [], next: from });
+          return Result.ok<TopicReadResult, never>({ records: [], next: from });
         },
       },
       chooseParents: () => ({
@@ -184,7 +184,7 @@
     for (let count = 0; count < 2; count++) {
       const reply = read(600);
       await clock.advance(600);
-      const { value } = (await reply) as { value: KeyedReading };
+      const { value } = (await reply) as { value: TopicReadResult };
       ages.push(value.age);
     }
     // The second was answered at once, so the wait confirms nothing.
--- a/packages/serving/src/signalling_fleet.ts
+++ b/packages/serving/src/signalling_fleet.ts
@@ -21,7 +21,7 @@
 import { MersenneTwister19937, Random } from "random-js";
 import { Result } from "true-myth";
 import { createSilentDecisionLog } from "./decision_log.ts";
-import { createSignalNotes } from "./endpoint_signals.ts";
+import { createSignalHandler } from "./endpoint_signals.ts";
 import { serveRequest } from "./request_service.ts";
 import type { CallEndpoint, EndpointAnswer } from "./serving_handles.ts";
 import type { ServingState } from "./serving_state.ts";
@@ -234,7 +234,7 @@
       callEndpoint,
       sendAllowance: entryAllowance.allowance,
     });
-    state.noteSignals = createSignalNotes({
+    state.handleSignals = createSignalHandler({
       log: createSilentDecisionLog(),
       metrics: state.metrics,
       limits: entryAllowance.limits,
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_knowledge.ts
@@ -31,7 +31,7 @@
 import type { MemberRegistry } from "./member_registry.ts";
 import type { ReadTracker } from "./reading_watch.ts";
 import { createReadTracker } from "./reading_watch.ts";
-import type { KeyedRecord, KeyedSource } from "./serving_handles.ts";
+import type { TopicRecord, TopicSource } from "./serving_handles.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
 import { TOPIC_TIMINGS } from "./topic_pace.ts";
@@ -53,7 +53,7 @@
    */
   createRelayedSource: (
     topic: TopicName,
-    source: KeyedSource,
+    source: TopicSource,
     reads: ReadTracker,
   ) => ReadableSource;
   /** Called with each configuration that comes into force. */
@@ -115,7 +115,7 @@
 /** Maximum number of log lines about records that cannot be decoded. */
 const MAX_UNDECODABLE = 200;
 
-function readValue({ value }: KeyedRecord): string {
+function readValue({ value }: TopicRecord): string {
   return value ?? "";
 }
 
@@ -160,8 +160,8 @@
 
   function createRelay(
     topic: TopicName,
-    source: KeyedSource,
-    readContent: (record: KeyedRecord) => string,
+    source: TopicSource,
+    readContent: (record: TopicRecord) => string,
   ): TopicRelay {
     return createTopicRelay({
       clock,
@@ -171,7 +171,7 @@
     });
   }
 
-  function readEndpointContent(record: KeyedRecord): string {
+  function readEndpointContent(record: TopicRecord): string {
     if (record.value === undefined) return "";
     const decoded = platform.decodeEndpoint(record);
     return decoded.isOk ? JSON.stringify(decoded.value) : record.value;
@@ -260,12 +260,12 @@
     });
   }
 
-  function applyConfigRecord({ key, value }: KeyedRecord): void {
+  function applyConfigRecord({ key, value }: TopicRecord): void {
     if (key !== platform.configKey || value === undefined) return;
     applyConfig(value, "store");
   }
 
-  function applyEvacuation({ key, value }: KeyedRecord): void {
+  function applyEvacuation({ key, value }: TopicRecord): void {
     const place = platform.readEvacuatedPlace(key);
     if (place === undefined) return;
     if (value === undefined) evacuation.clearEvacuated(place);
@@ -356,7 +356,7 @@
     });
   }
 
-  function readEndpoint(record: KeyedRecord): EndpointInfo[] {
+  function readEndpoint(record: TopicRecord): EndpointInfo[] {
     if (record.value === undefined) return [];
     const decoded = platform.decodeEndpoint(record);
     if (decoded.isOk) return [decoded.value];
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_knowledge_test.ts
@@ -4,25 +4,25 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import { createSilentDecisionLog } from "./decision_log.ts";
-import type { KeyedReading, KeyedRecord } from "./serving_handles.ts";
+import type { TopicReadResult, TopicRecord } from "./serving_handles.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
 import { createSiteState } from "./site_knowledge.ts";
 import { createPosition, createTestEndpoint } from "./test_support.ts";
 
 /** Creates a topic source that returns the given reads in order. */
-function createSource(reads: readonly (readonly KeyedRecord[])[]) {
+function createSource(reads: readonly (readonly TopicRecord[])[]) {
   let next = 0;
   const read = () => {
     const records = reads[next++] ?? [];
     const result = { records, next: createPosition(next) };
-    return Promise.resolve(Result.ok<KeyedReading, never>(result));
+    return Promise.resolve(Result.ok<TopicReadResult, never>(result));
   };
   return { readNewest: read, readFrom: read };
 }
 
 function decodeEndpoint(
-  { key, value }: KeyedRecord,
+  { key, value }: TopicRecord,
 ): Result<EndpointInfo, string> {
   return value?.startsWith("good")
     ? Result.ok({ ...createTestEndpoint(key), place: value.slice(5) })
@@ -31,8 +31,8 @@
 
 describe("site state", () => {
   async function follow(
-    reads: readonly (readonly KeyedRecord[])[],
-    published: readonly (readonly KeyedRecord[])[] = [],
+    reads: readonly (readonly TopicRecord[])[],
+    published: readonly (readonly TopicRecord[])[] = [],
   ) {
     const clock = createFakeClock(0);
     const warnings: unknown[] = [];
--- a/packages/serving/src/stage_back_pressure_test.ts
+++ b/packages/serving/src/stage_back_pressure_test.ts
@@ -5,7 +5,7 @@
 import { createEntryAllowance } from "@mangoreach/coordination";
 import { expect } from "chai";
 import { createSilentDecisionLog } from "./decision_log.ts";
-import { createSignalNotes } from "./endpoint_signals.ts";
+import { createSignalHandler } from "./endpoint_signals.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import {
   createTestDispatcher,
@@ -64,7 +64,7 @@
     undefined,
     {
       allowance,
-      handleSignals: createSignalNotes({
+      handleSignals: createSignalHandler({
         log: createSilentDecisionLog(),
         metrics: createServingMetrics("entry"),
         limits,
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -28,7 +28,7 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { EndpointCheck } from "./endpoint_check.ts";
 import type { EndpointLoads } from "./endpoint_load.ts";
-import type { NoteSignals } from "./endpoint_signals.ts";
+import type { SignalHandler } from "./endpoint_signals.ts";
 import type {
   DispatchedGroup,
   DispatchedPiece,
@@ -62,7 +62,7 @@
   /** Marks an endpoint whose address now belongs to another instance. */
   markLeaving: (endpointKey: string) => void;
   /** Handles the back-pressure signals in an endpoint's reply. */
-  handleSignals: NoteSignals;
+  handleSignals: SignalHandler;
   allowance: SendAllowance;
   /** Lists all endpoints that may be listening at an address. */
   listAt: (address: string) => readonly EndpointInfo[];
@@ -425,7 +425,7 @@
     piece.excluded.add(id);
     // If no other endpoint is healthy, those that failed the piece are used
     // again.
-    const others = loads.listInUse(options.listEndpoints())
+    const others = loads.listHealthy(options.listEndpoints())
       .filter(({ info }) => !piece.excluded.has(info.id));
     if (others.length === 0) piece.excluded.clear();
     if (piece.attempts >= MAX_ATTEMPTS || !budget.withdraw()) {
@@ -443,7 +443,7 @@
   function release(results: readonly string[]): void {
     const byProducer = new Map<string, string[]>();
     for (const result of results) {
-      const producer = stages.readMaker(result);
+      const producer = stages.findProducer(result);
       const list = byProducer.get(producer) ?? [];
       byProducer.set(producer, list);
       list.push(result);
--- a/packages/serving/src/stage_endpoint_calls.ts
+++ b/packages/serving/src/stage_endpoint_calls.ts
@@ -67,7 +67,7 @@
       if (calls === 0 && !keys.has(key)) states.delete(key);
     }
     const now = clock.now();
-    return loads.listInUse(endpoints).map(({ info, slowdown }) => {
+    return loads.listHealthy(endpoints).map(({ info, slowdown }) => {
       const key = formatEndpointKey(info);
       const free = { calls: 0, freeAt: 0, roomTaken: 0, blockedUntil: 0 };
       const endpoint = states.get(key) ??
@@ -82,7 +82,7 @@
 
   // Endpoints that accept a call soon count: their rate bounds queueing delays.
   function count(): number {
-    return loads.listInUse(listEndpoints())
+    return loads.listHealthy(listEndpoints())
       .filter(({ info }) => allowance.readWait(info) <= MAX_LIMIT_WAIT).length;
   }
 
--- a/packages/serving/src/test_fleet.ts
+++ b/packages/serving/src/test_fleet.ts
@@ -18,11 +18,11 @@
 import { Result } from "true-myth";
 import { createSilentDecisionLog } from "./decision_log.ts";
 import { createEndpointCheck } from "./endpoint_check.ts";
-import type { QuarantineNews } from "./quarantine_news.ts";
-import { createQuarantineNews } from "./quarantine_news.ts";
+import type { QuarantineGossip } from "./quarantine_news.ts";
+import { createQuarantineGossip } from "./quarantine_news.ts";
 import type { QuarantineStore } from "./quarantine_store.ts";
 import { serveRequest } from "./request_service.ts";
-import { createRunWatch } from "./run_watch.ts";
+import { createCrashDetector } from "./run_watch.ts";
 import type { CallEndpoint, EndpointAnswer } from "./serving_handles.ts";
 import type { ServingState } from "./serving_state.ts";
 import {
@@ -156,19 +156,19 @@
   /** The records of the store. */
   const records = new Map<string, QuarantinedContent>();
   let isStoreDown = false;
-  const gossips: QuarantineNews[] = [];
+  const gossips: QuarantineGossip[] = [];
   const peers = Array.from(
     { length: entries },
     (_, number) => createTestPeer(String(number)),
   );
 
   const store: QuarantineStore = {
-    announce: (quarantined) =>
+    publish: (quarantined) =>
       writeStore(
         quarantined.content,
         () => records.set(quarantined.content, quarantined),
       ),
-    withdraw: (content) => writeStore(content, () => records.delete(content)),
+    remove: (content) => writeStore(content, () => records.delete(content)),
     decode: ({ key }) => ({ content: key, quarantined: records.get(key) }),
   };
 
@@ -176,7 +176,7 @@
     if (isStoreDown) return Promise.resolve(Result.err<null, string>("down"));
     write();
     const record = { key: content, value: undefined };
-    gossips.forEach((entry) => entry.takeRecords([record]));
+    gossips.forEach((entry) => entry.applyRecords([record]));
     return Promise.resolve(Result.ok<null, string>(null));
   }
 
@@ -184,9 +184,9 @@
   function exchangeUpdates(round: number): void {
     gossips.forEach((entry, number) => {
       const partner = gossips[(number + 1 + round % (entries - 1)) % entries]!;
-      const [mine, theirs] = [entry.readNews(), partner.readNews()];
-      if (mine !== undefined) partner.takeNews(mine);
-      if (theirs !== undefined) entry.takeNews(theirs);
+      const [mine, theirs] = [entry.readUpdate(), partner.readUpdate()];
+      if (mine !== undefined) partner.applyUpdate(mine);
+      if (theirs !== undefined) entry.applyUpdate(theirs);
     });
     clock.startTimer(EXCHANGE_INTERVAL, () => exchangeUpdates(round + 1));
   }
@@ -194,7 +194,7 @@
   function createEntry(_: unknown, number: number): ServingState {
     const log = createSilentDecisionLog();
     const quarantine = createPoisonQuarantine(clock);
-    const quarantineGossip = createQuarantineNews({
+    const quarantineGossip = createQuarantineGossip({
       clock,
       random: () => 0.5,
       log,
@@ -211,7 +211,7 @@
       signal: new AbortController().signal,
     });
     gossips[number] = quarantineGossip;
-    quarantineGossip.takeRecords(
+    quarantineGossip.applyRecords(
       [...records.keys()].map((key) => ({ key, value: undefined })),
     );
     const state = createTestState(clock, {
@@ -219,7 +219,7 @@
       directory,
       readTable: () => table,
       callEndpoint,
-      runWatch: createRunWatch({
+      crashDetector: createCrashDetector({
         clock,
         log,
         endpointCheck: createEndpointCheck({
@@ -232,7 +232,7 @@
             ),
         }),
         quarantine,
-        news: quarantineGossip,
+        gossip: quarantineGossip,
       }),
     });
     return state;
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -125,7 +125,7 @@
     promptParts: [],
     pieceCounts: [],
     pieceKey: "key-1",
-    passedHeaders: [],
+    forwardedHeaders: [],
     ...change,
   };
 }
@@ -197,7 +197,7 @@
       released.push(...results);
       return Promise.resolve({});
     },
-    readMaker: (result) => result.split("/")[0] ?? "",
+    findProducer: (result) => result.split("/")[0] ?? "",
   };
 }
 
@@ -254,8 +254,8 @@
     get isStarted() {
       return seen.length > 0;
     },
-    gone: new AbortController().signal,
-    sendWhole: ({ status, body }) => void seen.push(`${status} ${body}`),
+    disconnected: new AbortController().signal,
+    sendBuffered: ({ status, body }) => void seen.push(`${status} ${body}`),
     startStream: ({ status }) => void seen.push(`stream ${status}`),
     write: (chunk) => Promise.resolve(void seen.push(String(chunk))),
     endStream: (end) => void seen.push(end),
@@ -300,21 +300,21 @@
     directory: createEndpointDirectory({ clock, markTtl: 1_000 }),
     loads: createEndpointLoads(clock),
     sendAllowance: createOpenAllowance(),
-    noteSignals: () => {},
-    noteUnreachable: () => {},
+    handleSignals: () => {},
+    recordUnreachable: () => {},
     router: {
       run: () => Promise.reject(new Error("no stages")),
       readWaits: () => Promise.resolve({ onTime: 0, late: 0, growth: 0 }),
       release: () => {},
     },
     callEndpoint: () => Promise.reject(new Error("no endpoints")),
-    runWatch: {
-      noteBroken: () => Promise.resolve(),
-      noteCompleted: () => {},
-      noteStageEnds: () => {},
+    crashDetector: {
+      handleBrokenRun: () => Promise.resolve(),
+      recordCompletion: () => {},
+      recordStageCrashes: () => {},
       findRefusal: () => undefined,
     },
-    readMaker: () => "",
+    findProducer: () => "",
     callerElapsed: { read: () => 0 },
     findPlace: () => undefined,
     findBudget: () => createRetryBudget({ share: 0, max: 10 }),
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -12,15 +12,15 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { RelayedSource } from "./shared_source.ts";
 import type {
-  KeyedReading,
-  KeyedRecord,
-  KeyedSource,
   TopicPosition,
+  TopicReadResult,
+  TopicRecord,
+  TopicSource,
 } from "./serving_handles.ts";
 
 /** A topic source; without `mayRelay`, its records are always relayed. */
 export type ReadableSource =
-  & KeyedSource
+  & TopicSource
   & Partial<Pick<RelayedSource, "mayRelay">>;
 
 /** Options of {@linkcode createTopicRelay}. */
@@ -34,13 +34,13 @@
    * Returns a record's content without heartbeats. A record with the same
    * content as the previous one of its key is not relayed.
    */
-  readContent: (record: KeyedRecord) => string;
+  readContent: (record: TopicRecord) => string;
 }
 
 /** A topic that this entry reads and relays. */
 export interface TopicRelay {
   /** The source for this entry; records that it reads are relayed to others. */
-  readonly source: KeyedSource;
+  readonly source: TopicSource;
   /**
    * Answers another entry. If there is no update, waits as long as the query
    * says, or until the signal aborts.
@@ -60,7 +60,7 @@
   wake: () => void;
 }
 
-interface BufferedChange extends KeyedRecord {
+interface BufferedChange extends TopicRecord {
   offset: number;
 }
 
@@ -93,7 +93,7 @@
   const waiting = new Set<WaitingRequest>();
 
   /** Returns whether the record changes the content of its key. */
-  function updateKey(record: KeyedRecord): boolean {
+  function updateKey(record: TopicRecord): boolean {
     const { key, value } = record;
     const content = readContent(record);
     const known = newest.get(key);
@@ -102,7 +102,7 @@
     return known?.content !== content;
   }
 
-  function applyNewest({ records, next: end }: KeyedReading): void {
+  function applyNewest({ records, next: end }: TopicReadResult): void {
     const isRestored = next !== undefined && next.era !== end.era;
     resetTo(end);
     records.forEach(updateKey);
@@ -130,7 +130,7 @@
   /** Returns whether any record changed the content of its key. */
   function applyChanges(
     { offset: from }: TopicPosition,
-    result: KeyedReading,
+    result: TopicReadResult,
   ): boolean {
     const updates = result.records
       .map((record, index) => ({
@@ -173,7 +173,7 @@
 
   function recordConfirmed(
     requestedAt: DataTimestamp,
-    { age: dataAge = 0 }: KeyedReading,
+    { age: dataAge = 0 }: TopicReadResult,
   ) {
     age.recordConfirmed({
       monotonic: requestedAt.monotonic - dataAge,
@@ -183,7 +183,7 @@
 
   async function readNewest() {
     const requestedAt = age.readTime();
-    const result = await source.readNewest();
+    const result = await source.readSnapshot();
     if (result.isErr) return result;
     applyNewest(result.value);
     recordConfirmed(requestedAt, result.value);
@@ -198,7 +198,7 @@
     if (result.isErr) return result;
     const before = next;
     let isUpdated = true;
-    if (result.value.isNewest) applyNewest(result.value);
+    if (result.value.isSnapshot) applyNewest(result.value);
     // The records in between were read elsewhere and are not buffered here.
     else if (!isSamePosition(from, next)) resetTo(result.value.next);
     else isUpdated = applyChanges(from, result.value);
@@ -254,7 +254,7 @@
     return createReply(from, arrivedAt);
   }
 
-  return { source: { readNewest, readFrom }, answer };
+  return { source: { readSnapshot: readNewest, readFrom }, answer };
 }
 
 /** Whether a position is in a later era, or further on in the same era. */
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -2,12 +2,12 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
-import type { KeyedFault, KeyedReading } from "./serving_handles.ts";
+import type { TopicReadError, TopicReadResult } from "./serving_handles.ts";
 import { createPosition } from "./test_support.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
 /** Creates a read result from records written as `key=content/heartbeat`. */
-function createResult(next: number, ...texts: string[]): KeyedReading {
+function createResult(next: number, ...texts: string[]): TopicReadResult {
   const records = texts.map((text) => {
     const [key = "", value] = text.split("=");
     return { key, value: value === "" ? undefined : value };
@@ -16,15 +16,16 @@
 }
 
 describe("topic relay", () => {
-  async function create(...changes: (KeyedReading | KeyedFault)[]) {
+  async function create(...changes: (TopicReadResult | TopicReadError)[]) {
     const clock = createFakeClock(0);
     const relay = createTopicRelay({
       clock,
       source: {
-        readNewest: () => Promise.resolve(Result.ok(createResult(5, "a=1/1"))),
+        readSnapshot: () =>
+          Promise.resolve(Result.ok(createResult(5, "a=1/1"))),
         readFrom: () => {
           const step = changes.shift();
-          return Promise.resolve<Result<KeyedReading, KeyedFault>>(
+          return Promise.resolve<Result<TopicReadResult, TopicReadError>>(
             typeof step === "object"
               ? Result.ok(step)
               : Result.err(step ?? "unavailable"),
@@ -34,7 +35,7 @@
       age: createDataAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value?.split("/")[0] ?? "",
     });
-    await relay.source.readNewest();
+    await relay.source.readSnapshot();
     const readOn = async (from: number, era = 0) => {
       await relay.source.readFrom(createPosition(from, era), 0);
     };
@@ -82,14 +83,15 @@
     const relay = createTopicRelay({
       clock,
       source: {
-        readNewest: () => Promise.resolve(Result.ok(createResult(5, "a=1/1"))),
+        readSnapshot: () =>
+          Promise.resolve(Result.ok(createResult(5, "a=1/1"))),
         readFrom: () => Promise.resolve(Result.ok(createResult(5))),
         mayRelay: () => !isLost,
       },
       age: createDataAge({ clock, readWallTime: clock.now }),
       readContent: ({ value }) => value ?? "",
     });
-    await relay.source.readNewest();
+    await relay.source.readSnapshot();
     const question = {
       topic: "config",
       from: createPosition(5),
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -14,7 +14,7 @@
 import { Result } from "true-myth";
 import { followTopic } from "./keyed_follower.ts";
 import { createReadTracker } from "./reading_watch.ts";
-import type { KeyedReading, KeyedSource } from "./serving_handles.ts";
+import type { TopicReadResult, TopicSource } from "./serving_handles.ts";
 import { createRelayedSource } from "./shared_source.ts";
 import { createTestPeer } from "./test_support.ts";
 import { TOPIC_TIMINGS } from "./topic_pace.ts";
@@ -81,7 +81,7 @@
   let written = [1];
   const polls = new Set<() => void>();
 
-  function createStore(index: number): KeyedSource {
+  function createStore(index: number): TopicSource {
     async function call(): Promise<boolean> {
       calls.push(clock.now());
       calledAt.set(index, clock.now());
@@ -102,15 +102,15 @@
       });
     }
 
-    const createResult = (from: number): KeyedReading => ({
+    const createResult = (from: number): TopicReadResult => ({
       records: written.slice(from)
         .map((value) => ({ key: "config", value: String(value) })),
       next: { era, offset: written.length },
     });
     return {
-      async readNewest() {
+      async readSnapshot() {
         if (!await call()) return Result.err("unavailable");
-        return Result.ok<KeyedReading, never>(
+        return Result.ok<TopicReadResult, never>(
           createResult(written.length - 1),
         );
       },
