--- a/packages/serving/src/member_registry.ts
+++ b/packages/serving/src/member_registry.ts
@@ -13,9 +13,9 @@
 
 /** The records of entries in the platform's store. */
 export interface MemberStore {
-  announce(record: PeerRecord): Promise<Result<null, string>>;
+  publish(record: PeerRecord): Promise<Result<null, string>>;
   /** Writes that an entry is leaving, which removes its record. */
-  withdraw(record: PeerRecord): Promise<Result<null, string>>;
+  remove(record: PeerRecord): Promise<Result<null, string>>;
   /** The records of all entries; some entries may have ended. */
   readonly source: TopicSource;
   /** Returns undefined for a record of another writer. */
@@ -27,7 +27,7 @@
   clock: Clock;
   random: () => number;
   signal: AbortSignal;
-  store: Pick<MemberStore, "announce">;
+  store: Pick<MemberStore, "publish">;
   self: PeerRecord;
   onFault: (reason: string) => void;
 }
@@ -39,7 +39,7 @@
   { clock, random, signal, store, self, onFault }: PublishEntryOptions,
 ): Promise<void> {
   while (!signal.aborted) {
-    const written = await store.announce(self);
+    const written = await store.publish(self);
     if (written.isOk) return;
     onFault(written.error);
     await clock.sleep(RETRY_INTERVAL * (0.5 + random()), signal);
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -19,7 +19,7 @@
       signal: new AbortController().signal,
       self: createTestPeer("self"),
       store: {
-        announce: () => {
+        publish: () => {
           writes.push(clock.now());
           return Promise.resolve(
             writes.length <= 3 ? Result.err("away") : Result.ok(null),
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -152,16 +152,16 @@
     onRestored() {
       if (phase !== "open") return;
       void gossip.republish(signal);
-      quarantineNews.republish();
+      quarantineGossip.republish();
     },
     members: {
       replaceAll(records) {
         gossip.registry.replaceAll(records);
-        quarantineNews.applyRecords(records);
+        quarantineGossip.applyRecords(records);
       },
       apply(record) {
         gossip.registry.apply(record);
-        quarantineNews.applyRecords([record]);
+        quarantineGossip.applyRecords([record]);
       },
     },
   });
@@ -212,8 +212,8 @@
       applyUpdate: (limitNews) => limits.applyUpdate(limitNews),
     },
     quarantine: {
-      readUpdate: () => quarantineNews.readUpdate(),
-      applyUpdate: (poison) => quarantineNews.applyUpdate(poison),
+      readUpdate: () => quarantineGossip.readUpdate(),
+      applyUpdate: (poison) => quarantineGossip.applyUpdate(poison),
     },
   });
   const { membership, peers } = gossip;
@@ -226,7 +226,7 @@
   });
 
   const quarantine = createPoisonQuarantine(clock);
-  const quarantineNews = createQuarantineGossip({
+  const quarantineGossip = createQuarantineGossip({
     clock,
     random,
     log,
@@ -271,7 +271,7 @@
     }),
   });
   const { listAt } = siteState;
-  const noteSignals = createSignalHandler({
+  const handleSignals = createSignalHandler({
     log,
     metrics,
     limits,
@@ -288,7 +288,7 @@
     stages: platform.stages,
     listUsable: directory.listUsable,
     markLeaving: (endpointKey) => directory.markLeaving(endpointKey),
-    handleSignals: noteSignals,
+    handleSignals,
     allowance,
     listAt,
     readTable,
@@ -323,7 +323,7 @@
     directory,
     loads,
     sendAllowance: allowance,
-    handleSignals: noteSignals,
+    handleSignals,
     recordUnreachable: siteState.recordUnreachable,
     router,
     callEndpoint: platform.callEndpoint,
@@ -332,7 +332,7 @@
       log,
       endpointCheck,
       quarantine,
-      gossip: quarantineNews,
+      gossip: quarantineGossip,
     }),
     findProducer: platform.stages.findProducer,
     findPlace: siteState.findPlace,
@@ -371,7 +371,7 @@
       handlers: {
         exchange: (message) => exchange.answer(message),
         runPieces: (run, stop) => runForPeer(run, stop),
-        reportRuns: quarantineNews.answer,
+        reportRuns: quarantineGossip.answer,
         readConfig: () => siteState.readPublished() ?? null,
         readTopics: (queries) => handleTopicRequests(siteState.relays, queries),
         readWaits: ({ pool, partition, priority }) =>
@@ -401,7 +401,7 @@
     })
   );
 
-  quarantineNews.releaseExpired().catch((error) =>
+  quarantineGossip.releaseExpired().catch((error) =>
     logger.error("Quarantine expiry check failed.", {
       error: String(error),
     })
@@ -419,7 +419,7 @@
     log.record("process_stopping", { inProgress: tasks.size });
     membership.updateSelf({ state: "leaving" });
     void exchange.tellPeers(MAX_NOTIFIED_PEERS);
-    void platform.members.withdraw(membership.self);
+    void platform.members.remove(membership.self);
     await clock.sleep(LEAVE_DELAY);
     phase = "refusing";
     controller.abort();
