--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/shared_source_test.ts
@@ -89,7 +89,7 @@
     expect(result.isOk && result.value).to.deep.equal({
       records: [{ key: "a", value: "1", offset: 5 }],
       next: createPosition(6),
-      isNewest: false,
+      isSnapshot: false,
       isRelayed: true,
       age: 300,
     });
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_knowledge_test.ts
@@ -18,7 +18,7 @@
     const result = { records, next: createPosition(next) };
     return Promise.resolve(Result.ok<TopicReadResult, never>(result));
   };
-  return { readNewest: read, readFrom: read };
+  return { readSnapshot: read, readFrom: read };
 }
 
 function decodeEndpoint(
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -181,7 +181,7 @@
     });
   }
 
-  async function readNewest() {
+  async function readSnapshot() {
     const requestedAt = age.readTime();
     const result = await source.readSnapshot();
     if (result.isErr) return result;
@@ -254,7 +254,7 @@
     return createReply(from, arrivedAt);
   }
 
-  return { source: { readSnapshot: readNewest, readFrom }, answer };
+  return { source: { readSnapshot, readFrom }, answer };
 }
 
 /** Whether a position is in a later era, or further on in the same era. */
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -239,7 +239,7 @@
   // era gets a snapshot, and then the next record of each live endpoint,
   // although its content is unchanged: only live endpoints write again.
   it("resets in a new era and relays each key's next record", async () => {
-    const copy = { ...createResult(3, "a=1/1", "b=1/1"), isNewest: true };
+    const copy = { ...createResult(3, "a=1/1", "b=1/1"), isSnapshot: true };
     const { readOn, ask } = await create(
       { ...copy, next: createPosition(3, 1) },
       { ...createResult(4, "a=1/2"), next: createPosition(4, 1) },
