--- a/packages/coordination/src/address_choice.ts
+++ b/packages/coordination/src/address_selection.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
-import { sampleItems } from "./draw.ts";
+import { sampleItems } from "./sampling.ts";
 import type {
   PeerHealth,
   PeerRecord,
--- a/packages/coordination/src/address_choice_test.ts
+++ b/packages/coordination/src/address_selection_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { MersenneTwister19937, Random } from "random-js";
-import type { AddressCandidate } from "./address_choice.ts";
+import type { AddressCandidate } from "./address_selection.ts";
 import type { PeerHealth, PeerRecord } from "./membership.ts";
-import { chooseAddresses, sampleEntries } from "./address_choice.ts";
+import { chooseAddresses, sampleEntries } from "./address_selection.ts";
 
 function candidate(
   entry: string,
--- a/packages/coordination/src/knowledge_age_test.ts
+++ b/packages/coordination/src/data_age_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createDataAge } from "./knowledge_age.ts";
+import { createDataAge } from "./data_age.ts";
 
 describe("data age", () => {
   function create() {
--- a/packages/coordination/src/caller_elapsed_test.ts
+++ b/packages/coordination/src/elapsed_estimator_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createElapsedEstimator } from "./caller_elapsed.ts";
+import { createElapsedEstimator } from "./elapsed_estimator.ts";
 
 describe("time since a caller's first attempt", () => {
   function create() {
--- a/packages/coordination/src/endpoint_limits.ts
+++ b/packages/coordination/src/endpoint_limits.ts
@@ -9,7 +9,7 @@
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 import { putBounded } from "@mangoreach/shared";
-import { sampleItems } from "./draw.ts";
+import { sampleItems } from "./sampling.ts";
 
 /** The last report about an endpoint's limit, as sent to other entries. */
 export interface LimitUpdate {
--- a/packages/coordination/src/endpoint_roster_test.ts
+++ b/packages/coordination/src/endpoint_registry_test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import type { EndpointInfo, EndpointState } from "./endpoint.ts";
-import { createEndpointRegistry } from "./endpoint_roster.ts";
+import { createEndpointRegistry } from "./endpoint_registry.ts";
 
 function createEndpoint(id: string, state: EndpointState = "live") {
   return { id, incarnation: "1", pool: "p", place: "a", address: id, state };
--- a/packages/coordination/src/engine_choice_replay_test.ts
+++ b/packages/coordination/src/engine_selector_replay_test.ts
@@ -1,8 +1,8 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { MersenneTwister19937, Random } from "random-js";
-import type { EngineView } from "./engine_choice.ts";
-import { createEngineSelector } from "./engine_choice.ts";
+import type { EngineView } from "./engine_selector.ts";
+import { createEngineSelector } from "./engine_selector.ts";
 
 /** One kind of request; sizes have a log-normal distribution. */
 interface Load {
--- a/packages/coordination/src/engine_choice_test.ts
+++ b/packages/coordination/src/engine_selector_test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { EngineView } from "./engine_choice.ts";
-import { createEngineSelector } from "./engine_choice.ts";
+import type { EngineView } from "./engine_selector.ts";
+import { createEngineSelector } from "./engine_selector.ts";
 import { listByRendezvous } from "./rendezvous.ts";
 
 function createEngine(
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
-import { sampleItems } from "./draw.ts";
+import { sampleItems } from "./sampling.ts";
 import { listHighCapacity } from "./high_capacity_members.ts";
 
 /** The state that an entry publishes about itself. */
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -75,8 +75,8 @@
   AddressCandidate,
   AddressSelection,
   AddressSelectionOptions,
-} from "./address_choice.ts";
-export { chooseAddresses, sampleEntries } from "./address_choice.ts";
+} from "./address_selection.ts";
+export { chooseAddresses, sampleEntries } from "./address_selection.ts";
 export type {
   EndpointInfo,
   EndpointSignals,
@@ -126,7 +126,7 @@
   EntryAllowanceOptions,
 } from "./entry_allowance.ts";
 export { createEntryAllowance, listSendingMembers } from "./entry_allowance.ts";
-export { createDiscoveryCheck } from "./learning_time.ts";
+export { createDiscoveryCheck } from "./discovery_period.ts";
 export type { FindSenderRank, SenderRankOptions } from "./sender_rank.ts";
 export { createSenderRank, rankSenders } from "./sender_rank.ts";
 export type { SendAllowance, SendAllowanceOptions } from "./send_allowance.ts";
@@ -218,20 +218,16 @@
 } from "./serving_config.ts";
 export type { RouteTable } from "./route_table.ts";
 export { createRouteTable } from "./route_table.ts";
-export type {
-  DataAge,
-  DataAgeOptions,
-  DataTimestamp,
-} from "./knowledge_age.ts";
-export { createDataAge } from "./knowledge_age.ts";
+export type { DataAge, DataAgeOptions, DataTimestamp } from "./data_age.ts";
+export { createDataAge } from "./data_age.ts";
 export type {
   EndpointRegistry,
   EndpointRegistryOptions,
-} from "./endpoint_roster.ts";
-export { createEndpointRegistry } from "./endpoint_roster.ts";
+} from "./endpoint_registry.ts";
+export { createEndpointRegistry } from "./endpoint_registry.ts";
 export { listHighCapacity } from "./high_capacity_members.ts";
 export { computeHash, listByRendezvous, listLocalFirst } from "./rendezvous.ts";
-export { sampleItems } from "./draw.ts";
+export { sampleItems } from "./sampling.ts";
 export type {
   BatchEndpoint,
   PieceBatcher,
@@ -240,8 +236,8 @@
   WaitingPiece,
 } from "./piece_batcher.ts";
 export { createPieceBatcher } from "./piece_batcher.ts";
-export type { ElapsedEstimator } from "./caller_elapsed.ts";
-export { createElapsedEstimator } from "./caller_elapsed.ts";
+export type { ElapsedEstimator } from "./elapsed_estimator.ts";
+export { createElapsedEstimator } from "./elapsed_estimator.ts";
 export type { PieceRates, PieceWaits, WaitForecast } from "./piece_rates.ts";
 export {
   chooseOverflowPartition,
@@ -257,7 +253,7 @@
   EngineSelector,
   EngineView,
   PromptPart,
-} from "./engine_choice.ts";
-export { createEngineSelector } from "./engine_choice.ts";
+} from "./engine_selector.ts";
+export { createEngineSelector } from "./engine_selector.ts";
 export type { PlannedStage } from "./stage_plan.ts";
 export { computeStageTime, planStages } from "./stage_plan.ts";
--- a/packages/coordination/src/pool_partition.ts
+++ b/packages/coordination/src/pool_partition.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import type { Millis } from "@mangoreach/shared";
-import { sampleItems } from "./draw.ts";
+import { sampleItems } from "./sampling.ts";
 import type { EndpointInfo } from "./endpoint.ts";
 import type { PeerRecord } from "./membership.ts";
 import { listByRendezvous, listLocalFirst } from "./rendezvous.ts";
--- a/packages/serving/src/attempt_loop.ts
+++ b/packages/serving/src/attempt_loop.ts
@@ -30,7 +30,7 @@
   EndpointReply,
   ForwardedRequest,
   NotRunReason,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 import type { ServingState } from "./serving_state.ts";
 import type { StageResults } from "./stage_graph.ts";
 
--- a/packages/serving/src/attempt_loop_test.ts
+++ b/packages/serving/src/attempt_loop_test.ts
@@ -9,7 +9,7 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import { runAttempts } from "./attempt_loop.ts";
-import type { EndpointAnswer } from "./serving_handles.ts";
+import type { EndpointAnswer } from "./platform_interfaces.ts";
 import {
   createRecordedResponse,
   createTestEndpoint,
--- a/packages/serving/src/caller_listener.ts
+++ b/packages/serving/src/caller_listener.ts
@@ -14,7 +14,7 @@
 import type { Result } from "true-myth";
 import type { CallerResponse, EncodeFailure } from "./caller_response.ts";
 import { createCallerResponse } from "./caller_response.ts";
-import type { RequestHead } from "./serving_handles.ts";
+import type { RequestHead } from "./platform_interfaces.ts";
 import type { RequestContext } from "./request_service.ts";
 
 /** Whether requests are served. */
--- a/packages/serving/src/caller_response.ts
+++ b/packages/serving/src/caller_response.ts
@@ -6,7 +6,7 @@
  */
 import type { ServerResponse } from "node:http";
 import type { Failure } from "@mangoreach/coordination";
-import type { HeaderList } from "./serving_handles.ts";
+import type { HeaderList } from "./platform_interfaces.ts";
 
 /** How a response ended. */
 export type ResponseEnd = "complete" | "cut";
--- a/packages/serving/src/config_freshness.ts
+++ b/packages/serving/src/config_freshness.ts
@@ -12,7 +12,7 @@
 import type { DecisionLog } from "./decision_log.ts";
 import { refreshFromPeer } from "./peer_config.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
-import type { SiteState } from "./site_knowledge.ts";
+import type { SiteState } from "./site_state.ts";
 
 /** Options of {@linkcode createConfigFreshness}. */
 export interface ConfigFreshnessOptions {
--- a/packages/serving/src/run_watch.ts
+++ b/packages/serving/src/crash_detector.ts
@@ -18,8 +18,8 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { DecisionLog } from "./decision_log.ts";
 import type { EndpointCheck } from "./endpoint_check.ts";
-import type { QuarantineGossip } from "./quarantine_news.ts";
-import type { ForwardedRequest } from "./serving_handles.ts";
+import type { QuarantineGossip } from "./quarantine_gossip.ts";
+import type { ForwardedRequest } from "./platform_interfaces.ts";
 
 /** A request with the client account that sent it. */
 export interface TrackedRequest {
--- a/packages/serving/src/run_watch_test.ts
+++ b/packages/serving/src/crash_detector_test.ts
@@ -5,8 +5,8 @@
 import { expect } from "chai";
 import { createSilentDecisionLog } from "./decision_log.ts";
 import type { EndpointCondition } from "./endpoint_check.ts";
-import type { TrackedRequest } from "./run_watch.ts";
-import { createCrashDetector } from "./run_watch.ts";
+import type { TrackedRequest } from "./crash_detector.ts";
+import { createCrashDetector } from "./crash_detector.ts";
 import { createTestEndpoint, createTestHead } from "./test_support.ts";
 
 function createTracked(
--- a/packages/serving/src/dispatched_piece.ts
+++ b/packages/serving/src/dispatched_piece.ts
@@ -6,7 +6,7 @@
 import type { PieceGroup, WaitingPiece } from "@mangoreach/coordination";
 import type { PieceOrder, PieceOutcome, PieceRun } from "@mangoreach/peers";
 import type { Millis } from "@mangoreach/shared";
-import type { CalledPiece } from "./serving_handles.ts";
+import type { CalledPiece } from "./platform_interfaces.ts";
 
 /** The pieces of one stage of one request in a dispatcher. */
 export interface DispatchedGroup extends PieceGroup {
--- a/packages/serving/src/endpoint_signals.ts
+++ b/packages/serving/src/endpoint_signals.ts
@@ -14,7 +14,7 @@
 import { formatEndpointKey } from "@mangoreach/coordination";
 import type { Millis } from "@mangoreach/shared";
 import type { DecisionFields, DecisionLog } from "./decision_log.ts";
-import type { Signalled } from "./serving_handles.ts";
+import type { Signalled } from "./platform_interfaces.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 
 /** The kind of call whose answer carried signals. */
--- a/packages/serving/src/signalling_fleet.ts
+++ b/packages/serving/src/fleet_simulation.ts
@@ -23,7 +23,7 @@
 import { createSilentDecisionLog } from "./decision_log.ts";
 import { createSignalHandler } from "./endpoint_signals.ts";
 import { serveRequest } from "./request_service.ts";
-import type { CallEndpoint, EndpointAnswer } from "./serving_handles.ts";
+import type { CallEndpoint, EndpointAnswer } from "./platform_interfaces.ts";
 import type { ServingState } from "./serving_state.ts";
 import {
   createRecordedResponse,
--- a/packages/serving/src/leaving_endpoint_test.ts
+++ b/packages/serving/src/leaving_endpoint_test.ts
@@ -1,10 +1,10 @@
 import type { Millis } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { FleetArrival, FleetLoad } from "./signalling_fleet.ts";
+import type { FleetArrival, FleetLoad } from "./fleet_simulation.ts";
 import {
   createSignalSchedule,
   runFleetSimulation,
-} from "./signalling_fleet.ts";
+} from "./fleet_simulation.ts";
 
 const SECOND: Millis = 1_000;
 /** Requests sent later than this after the report must go elsewhere. */
--- a/packages/serving/src/limited_endpoint_test.ts
+++ b/packages/serving/src/limited_endpoint_test.ts
@@ -1,10 +1,10 @@
 import type { Millis } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { FleetArrival, FleetLoad } from "./signalling_fleet.ts";
+import type { FleetArrival, FleetLoad } from "./fleet_simulation.ts";
 import {
   createSignalSchedule,
   runFleetSimulation,
-} from "./signalling_fleet.ts";
+} from "./fleet_simulation.ts";
 
 const SECOND: Millis = 1_000;
 /** The window over which an endpoint counts its requests. */
--- a/packages/serving/src/member_registry.ts
+++ b/packages/serving/src/member_registry.ts
@@ -9,7 +9,7 @@
 import type { PeerRecord } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { Result } from "true-myth";
-import type { TopicRecord, TopicSource } from "./serving_handles.ts";
+import type { TopicRecord, TopicSource } from "./platform_interfaces.ts";
 
 /** The records of entries in the platform's store. */
 export interface MemberStore {
--- a/packages/serving/src/member_registry_test.ts
+++ b/packages/serving/src/member_registry_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import { createMemberRegistry, publishEntry } from "./member_registry.ts";
-import type { TopicRecord } from "./serving_handles.ts";
+import type { TopicRecord } from "./platform_interfaces.ts";
 import { createTestPeer } from "./test_support.ts";
 
 describe("registry of members", () => {
--- a/packages/serving/src/mod.ts
+++ b/packages/serving/src/mod.ts
@@ -24,7 +24,7 @@
   TopicReadResult,
   TopicRecord,
   TopicSource,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 export type { EncodeFailure } from "./caller_response.ts";
 export type { MemberStore } from "./member_registry.ts";
 export type { QuarantineRecord, QuarantineStore } from "./quarantine_store.ts";
--- a/packages/serving/src/peer_news.ts
+++ b/packages/serving/src/peer_gossip.ts
@@ -28,7 +28,7 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { MemberRegistry, MemberStore } from "./member_registry.ts";
 import { createMemberRegistry, publishEntry } from "./member_registry.ts";
-import type { QuarantineGossip } from "./quarantine_news.ts";
+import type { QuarantineGossip } from "./quarantine_gossip.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingSettings } from "./serving_options.ts";
 
--- a/packages/serving/src/peer_reader.ts
+++ b/packages/serving/src/peer_reader.ts
@@ -10,10 +10,10 @@
 import type { TopicName, TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import { createFallbackPeers } from "./fallback_peers.ts";
-import { createPeerBackoff } from "./peer_penalties.ts";
-import type { ReadTracker } from "./reading_watch.ts";
-import type { TopicPosition, TopicReadResult } from "./serving_handles.ts";
-import type { TopicTiming } from "./topic_pace.ts";
+import { createPeerBackoff } from "./peer_backoff.ts";
+import type { ReadTracker } from "./read_tracker.ts";
+import type { TopicPosition, TopicReadResult } from "./platform_interfaces.ts";
+import type { TopicTiming } from "./topic_timing.ts";
 
 /** Options of {@linkcode createPeerReader}. */
 export interface PeerReaderOptions {
--- a/packages/serving/src/pool_parts.ts
+++ b/packages/serving/src/pool_components.ts
@@ -24,7 +24,7 @@
 import type { EndpointCheck } from "./endpoint_check.ts";
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { SignalHandler } from "./endpoint_signals.ts";
-import type { StageEndpoints } from "./serving_handles.ts";
+import type { StageEndpoints } from "./platform_interfaces.ts";
 import type { StageDispatcher } from "./stage_dispatcher.ts";
 import { createStageDispatcher } from "./stage_dispatcher.ts";
 
--- a/packages/serving/src/pool_parts_test.ts
+++ b/packages/serving/src/pool_components_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createSilentDecisionLog } from "./decision_log.ts";
 import { createEndpointLoads } from "./endpoint_load.ts";
-import { createPoolComponents } from "./pool_parts.ts";
+import { createPoolComponents } from "./pool_components.ts";
 import { createFakeStages, createOpenAllowance } from "./test_support.ts";
 
 describe("pool components", () => {
--- a/packages/serving/src/quarantine_news.ts
+++ b/packages/serving/src/quarantine_gossip.ts
@@ -23,7 +23,7 @@
 import type { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
 import type { QuarantineStore } from "./quarantine_store.ts";
-import type { TopicRecord } from "./serving_handles.ts";
+import type { TopicRecord } from "./platform_interfaces.ts";
 
 /** Options of {@linkcode createQuarantineGossip}. */
 export interface QuarantineGossipOptions {
--- a/packages/serving/src/quarantine_store.ts
+++ b/packages/serving/src/quarantine_store.ts
@@ -6,7 +6,7 @@
  */
 import type { QuarantinedContent } from "@mangoreach/coordination";
 import type { Result } from "true-myth";
-import type { TopicRecord } from "./serving_handles.ts";
+import type { TopicRecord } from "./platform_interfaces.ts";
 
 /** A decoded record of the store. */
 export interface QuarantineRecord {
--- a/packages/serving/src/reading_watch_test.ts
+++ b/packages/serving/src/read_tracker_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createReadTracker } from "./reading_watch.ts";
+import { createReadTracker } from "./read_tracker.ts";
 
 describe("read tracker", () => {
   it("describes the oldest read in progress and the last one", async () => {
--- a/packages/serving/src/shared_source.ts
+++ b/packages/serving/src/relayed_source.ts
@@ -13,16 +13,16 @@
 import { Result } from "true-myth";
 import type { PeerReaderOptions, PeerReadResult } from "./peer_reader.ts";
 import { createPeerReader } from "./peer_reader.ts";
-import type { ReadTracker } from "./reading_watch.ts";
+import type { ReadTracker } from "./read_tracker.ts";
 import type {
   TopicPosition,
   TopicReadError,
   TopicReadResult,
   TopicSource,
-} from "./serving_handles.ts";
-import { createStoreHealth } from "./store_access.ts";
-import type { TopicTiming } from "./topic_pace.ts";
-import type { TopicParents } from "./topic_readers.ts";
+} from "./platform_interfaces.ts";
+import { createStoreHealth } from "./store_health.ts";
+import type { TopicTiming } from "./topic_timing.ts";
+import type { TopicParents } from "./topic_parents.ts";
 
 /** A topic source that entries share. */
 export interface RelayedSource extends TopicSource {
--- a/packages/serving/src/shared_source_test.ts
+++ b/packages/serving/src/relayed_source_test.ts
@@ -3,9 +3,9 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
-import type { TopicReadResult } from "./serving_handles.ts";
-import { createRelayedSource } from "./shared_source.ts";
-import { createReadTracker } from "./reading_watch.ts";
+import type { TopicReadResult } from "./platform_interfaces.ts";
+import { createRelayedSource } from "./relayed_source.ts";
+import { createReadTracker } from "./read_tracker.ts";
 import { createPosition } from "./test_support.ts";
 
 const REPLY: TopicNews = {
--- a/packages/serving/src/request_admission.ts
+++ b/packages/serving/src/request_admission.ts
@@ -13,7 +13,7 @@
 import { createFailure } from "@mangoreach/coordination";
 import type { Millis } from "@mangoreach/shared";
 import { Result } from "true-myth";
-import type { RequestHead } from "./serving_handles.ts";
+import type { RequestHead } from "./platform_interfaces.ts";
 import type { ServingState } from "./serving_state.ts";
 
 /** What a request was admitted to. */
--- a/packages/serving/src/request_service.ts
+++ b/packages/serving/src/request_service.ts
@@ -19,7 +19,7 @@
 import type { CallerResponse } from "./caller_response.ts";
 import type { AdmittedRoute } from "./request_admission.ts";
 import { admitRequest } from "./request_admission.ts";
-import type { ForwardedRequest } from "./serving_handles.ts";
+import type { ForwardedRequest } from "./platform_interfaces.ts";
 import type { ServingState } from "./serving_state.ts";
 import { findInfeasible } from "./stage_admission.ts";
 import type { StageResults } from "./stage_graph.ts";
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -34,23 +34,23 @@
 import { createEndpointCheck } from "./endpoint_check.ts";
 import { createEndpointLoads } from "./endpoint_load.ts";
 import { createSignalHandler } from "./endpoint_signals.ts";
-import { createPeerGossip } from "./peer_news.ts";
+import { createPeerGossip } from "./peer_gossip.ts";
 import { createPieceRouter } from "./piece_router.ts";
-import { createPoolComponents } from "./pool_parts.ts";
-import { createQuarantineGossip } from "./quarantine_news.ts";
+import { createPoolComponents } from "./pool_components.ts";
+import { createQuarantineGossip } from "./quarantine_gossip.ts";
 import { serveRequest } from "./request_service.ts";
-import { createCrashDetector } from "./run_watch.ts";
+import { createCrashDetector } from "./crash_detector.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingEntryOptions } from "./serving_options.ts";
 import type { ServingState } from "./serving_state.ts";
-import { createRelayedSource } from "./shared_source.ts";
-import { createSiteState } from "./site_knowledge.ts";
+import { createRelayedSource } from "./relayed_source.ts";
+import { createSiteState } from "./site_state.ts";
 import {
   createTopicRequestBatcher,
   handleTopicRequests,
-} from "./topic_asker.ts";
-import { TOPIC_TIMINGS } from "./topic_pace.ts";
-import { chooseTopicParents } from "./topic_readers.ts";
+} from "./topic_request_batcher.ts";
+import { TOPIC_TIMINGS } from "./topic_timing.ts";
+import { chooseTopicParents } from "./topic_parents.ts";
 
 /** A running entry. */
 export interface ServingEntry {
--- a/packages/serving/src/serving_options.ts
+++ b/packages/serving/src/serving_options.ts
@@ -26,7 +26,7 @@
   StageEndpoints,
   TopicRecord,
   TopicSource,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 
 /** Settings of one entry. */
 export interface ServingSettings {
--- a/packages/serving/src/serving_state.ts
+++ b/packages/serving/src/serving_state.ts
@@ -19,9 +19,9 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { EndpointLoads } from "./endpoint_load.ts";
 import type { PieceRouter } from "./piece_router.ts";
-import type { CrashDetector } from "./run_watch.ts";
+import type { CrashDetector } from "./crash_detector.ts";
 import type { SignalHandler } from "./endpoint_signals.ts";
-import type { CallEndpoint } from "./serving_handles.ts";
+import type { CallEndpoint } from "./platform_interfaces.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 
 /** State and components for serving requests. */
--- a/packages/serving/src/site_knowledge.ts
+++ b/packages/serving/src/site_state.ts
@@ -26,15 +26,15 @@
 import type { TopicName } from "@mangoreach/peers";
 import type { Clock, Logger, Millis } from "@mangoreach/shared";
 import type { DecisionFields, DecisionLog } from "./decision_log.ts";
-import type { TopicSink } from "./keyed_follower.ts";
-import { followTopic } from "./keyed_follower.ts";
+import type { TopicSink } from "./topic_follower.ts";
+import { followTopic } from "./topic_follower.ts";
 import type { MemberRegistry } from "./member_registry.ts";
-import type { ReadTracker } from "./reading_watch.ts";
-import { createReadTracker } from "./reading_watch.ts";
-import type { TopicRecord, TopicSource } from "./serving_handles.ts";
+import type { ReadTracker } from "./read_tracker.ts";
+import { createReadTracker } from "./read_tracker.ts";
+import type { TopicRecord, TopicSource } from "./platform_interfaces.ts";
 import type { ServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
-import { TOPIC_TIMINGS } from "./topic_pace.ts";
+import { TOPIC_TIMINGS } from "./topic_timing.ts";
 import type { ReadableSource, TopicRelay } from "./topic_relay.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
--- a/packages/serving/src/site_knowledge_test.ts
+++ b/packages/serving/src/site_state_test.ts
@@ -4,10 +4,10 @@
 import { expect } from "chai";
 import { Result } from "true-myth";
 import { createSilentDecisionLog } from "./decision_log.ts";
-import type { TopicReadResult, TopicRecord } from "./serving_handles.ts";
+import type { TopicReadResult, TopicRecord } from "./platform_interfaces.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingPlatform } from "./serving_options.ts";
-import { createSiteState } from "./site_knowledge.ts";
+import { createSiteState } from "./site_state.ts";
 import { createPosition, createTestEndpoint } from "./test_support.ts";
 
 /** Creates a topic source that returns the given reads in order. */
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -47,7 +47,7 @@
   StageEndpoints,
   StageReply,
   StageResult,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 import type { DecisionLog } from "./decision_log.ts";
 
 /** Options of {@linkcode createStageDispatcher}. */
--- a/packages/serving/src/stage_graph.ts
+++ b/packages/serving/src/stage_graph.ts
@@ -16,7 +16,7 @@
 import { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
 import type { PieceRouter } from "./piece_router.ts";
-import type { RequestHead } from "./serving_handles.ts";
+import type { RequestHead } from "./platform_interfaces.ts";
 
 /** Options of {@linkcode runStages}. */
 export interface StageGraphOptions {
--- a/packages/serving/src/store_access_test.ts
+++ b/packages/serving/src/store_health_test.ts
@@ -1,6 +1,6 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import { createStoreHealth } from "./store_access.ts";
+import { createStoreHealth } from "./store_health.ts";
 
 describe("health of the store", () => {
   it("probes an unreachable store once a second until it answers", async () => {
--- a/packages/serving/src/test_fleet.ts
+++ b/packages/serving/src/test_fleet.ts
@@ -18,12 +18,12 @@
 import { Result } from "true-myth";
 import { createSilentDecisionLog } from "./decision_log.ts";
 import { createEndpointCheck } from "./endpoint_check.ts";
-import type { QuarantineGossip } from "./quarantine_news.ts";
-import { createQuarantineGossip } from "./quarantine_news.ts";
+import type { QuarantineGossip } from "./quarantine_gossip.ts";
+import { createQuarantineGossip } from "./quarantine_gossip.ts";
 import type { QuarantineStore } from "./quarantine_store.ts";
 import { serveRequest } from "./request_service.ts";
-import { createCrashDetector } from "./run_watch.ts";
-import type { CallEndpoint, EndpointAnswer } from "./serving_handles.ts";
+import { createCrashDetector } from "./crash_detector.ts";
+import type { CallEndpoint, EndpointAnswer } from "./platform_interfaces.ts";
 import type { ServingState } from "./serving_state.ts";
 import {
   createRecordedResponse,
--- a/packages/serving/src/test_support.ts
+++ b/packages/serving/src/test_support.ts
@@ -35,7 +35,7 @@
   StageEndpoints,
   StageReply,
   TopicPosition,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 import { createServingMetrics } from "./serving_metrics.ts";
 import type { ServingState } from "./serving_state.ts";
 import type { StageDispatcherOptions } from "./stage_dispatcher.ts";
--- a/packages/serving/src/keyed_follower.ts
+++ b/packages/serving/src/topic_follower.ts
@@ -11,7 +11,7 @@
   TopicReadResult,
   TopicRecord,
   TopicSource,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 
 /** Receives the records of a topic. */
 export interface TopicSink {
--- a/packages/serving/src/keyed_follower_test.ts
+++ b/packages/serving/src/topic_follower_test.ts
@@ -1,8 +1,8 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
-import { followTopic } from "./keyed_follower.ts";
-import type { TopicReadError, TopicReadResult } from "./serving_handles.ts";
+import { followTopic } from "./topic_follower.ts";
+import type { TopicReadError, TopicReadResult } from "./platform_interfaces.ts";
 import { createPosition } from "./test_support.ts";
 
 type Script = (TopicReadResult | TopicReadError)[];
--- a/packages/serving/src/topic_readers_test.ts
+++ b/packages/serving/src/topic_parents_test.ts
@@ -3,7 +3,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { createTestPeer } from "./test_support.ts";
-import { chooseTopicParents } from "./topic_readers.ts";
+import { chooseTopicParents } from "./topic_parents.ts";
 
 const PLACES = ["a", "b", "c", "d", "e", "f"];
 
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -10,13 +10,13 @@
 import type { DataAge, DataTimestamp } from "@mangoreach/coordination";
 import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
-import type { RelayedSource } from "./shared_source.ts";
+import type { RelayedSource } from "./relayed_source.ts";
 import type {
   TopicPosition,
   TopicReadResult,
   TopicRecord,
   TopicSource,
-} from "./serving_handles.ts";
+} from "./platform_interfaces.ts";
 
 /** A topic source; without `mayRelay`, its records are always relayed. */
 export type ReadableSource =
--- a/packages/serving/src/topic_relay_test.ts
+++ b/packages/serving/src/topic_relay_test.ts
@@ -2,7 +2,7 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
-import type { TopicReadError, TopicReadResult } from "./serving_handles.ts";
+import type { TopicReadError, TopicReadResult } from "./platform_interfaces.ts";
 import { createPosition } from "./test_support.ts";
 import { createTopicRelay } from "./topic_relay.ts";
 
--- a/packages/serving/src/topic_asker_test.ts
+++ b/packages/serving/src/topic_request_batcher_test.ts
@@ -6,7 +6,7 @@
 import {
   createTopicRequestBatcher,
   handleTopicRequests,
-} from "./topic_asker.ts";
+} from "./topic_request_batcher.ts";
 
 const REPLY: TopicNews = {
   kind: "records",
