--- a/packages/callers/src/address_book.ts
+++ b/packages/callers/src/address_book.ts
@@ -1,6 +1,7 @@
 /**
- * Which entries a caller uses: asks for addresses, keeps the answer for as long
- * as it was told, and falls back to addresses known from settings.
+ * Entry addresses of a caller: fetches the list from an entry, caches it for
+ * the time that the response allows, and falls back to the addresses of the
+ * settings.
  *
  * @module
  */
@@ -17,44 +18,48 @@
 export interface AddressBookOptions {
   clock: Clock;
   http: HttpClient;
-  /** `ip:port` of some entries; any of them may be gone. */
+  /** `ip:port` of some entries; any of them may no longer exist. */
   knownAddresses: readonly string[];
   place: string;
   authorization: string;
   timeoutMs: Millis;
 }
 
-/** A caller's addresses. */
+/** The entry addresses of a caller. */
 export interface AddressBook {
-  /** Entries in order of preference; empty when none answers. */
+  /**
+   * Entries in order of preference; empty if none is cached and none responds.
+   */
   list(): Promise<EntryAddress[]>;
-  /** Puts an entry that failed behind the others and asks again soon. */
+  /**
+   * Moves a failed entry behind the others and refreshes the list on next use.
+   */
   demote(address: string): void;
 }
 
-interface KeptAnswer {
+interface CachedAnswer {
   answer: AddressAnswer;
-  askAgainAt: Millis;
-  dropAt: Millis;
+  refreshAt: Millis;
+  staleAt: Millis;
 }
 
 const OK = 200;
 
-/** Creates an empty address book; it asks on first use. */
+/** Creates an empty address book; the list is fetched on first use. */
 export function createAddressBook(
   { clock, http, knownAddresses, place, authorization, timeoutMs }:
     AddressBookOptions,
 ): AddressBook {
-  let kept: KeptAnswer | undefined;
-  let asking: Promise<void> | undefined;
+  let cached: CachedAnswer | undefined;
+  let refreshing: Promise<void> | undefined;
   const demoted = new Set<string>();
 
   async function list(): Promise<EntryAddress[]> {
     const now = clock.now();
-    if (kept === undefined || now >= kept.dropAt) await refresh();
-    // Asking early, in the background, keeps requests from waiting for it.
-    else if (now >= kept.askAgainAt) void refresh();
-    const addresses = kept?.answer.addresses ?? [];
+    if (cached === undefined || now >= cached.staleAt) await refresh();
+    // Refreshing early, in the background, keeps requests from waiting for it.
+    else if (now >= cached.refreshAt) void refresh();
+    const addresses = cached?.answer.addresses ?? [];
     const isDemoted = ({ address }: EntryAddress) => demoted.has(address);
     return [
       ...addresses.filter((entry) => !isDemoted(entry)),
@@ -63,35 +68,39 @@
   }
 
   function refresh(): Promise<void> {
-    asking ??= askAll().finally(() => asking = undefined);
-    return asking;
+    refreshing ??= fetchFromAny().finally(() => refreshing = undefined);
+    return refreshing;
   }
 
-  async function askAll(): Promise<void> {
-    const fromAnswer = kept?.answer.addresses.map((entry) => entry.address);
-    const order = new Set([...(fromAnswer ?? []), ...knownAddresses]);
+  async function fetchFromAny(): Promise<void> {
+    const cachedAddresses = cached?.answer.addresses.map((entry) =>
+      entry.address
+    );
+    const order = new Set([...(cachedAddresses ?? []), ...knownAddresses]);
     const sorted = [...order].sort((a, b) =>
       Number(demoted.has(a)) - Number(demoted.has(b))
     );
     for (const address of sorted) {
-      const answer = await ask(address);
+      const answer = await fetchFrom(address);
       if (answer === undefined) continue;
-      keep(answer);
+      storeAnswer(answer);
       return;
     }
   }
 
-  function keep(answer: AddressAnswer): void {
+  function storeAnswer(answer: AddressAnswer): void {
     const now = clock.now();
-    kept = {
+    cached = {
       answer,
-      askAgainAt: now + answer.ask_again_ms,
-      dropAt: now + answer.keep_ms,
+      refreshAt: now + answer.ask_again_ms,
+      staleAt: now + answer.keep_ms,
     };
     demoted.clear();
   }
 
-  async function ask(address: string): Promise<AddressAnswer | undefined> {
+  async function fetchFrom(
+    address: string,
+  ): Promise<AddressAnswer | undefined> {
     const timeout = startTimeout(clock, timeoutMs);
     const reply = await http.call({
       method: "GET",
@@ -109,7 +118,7 @@
 
   function demote(address: string): void {
     demoted.add(address);
-    if (kept !== undefined) kept.askAgainAt = clock.now();
+    if (cached !== undefined) cached.refreshAt = clock.now();
   }
 
   return { list, demote };
--- a/packages/callers/src/caller_client.ts
+++ b/packages/callers/src/caller_client.ts
@@ -1,6 +1,6 @@
 /**
- * The client that a caller embeds: finds entries, fails over, resumes streams,
- * and gives back a `Result` whose error carries the verdict.
+ * The client library for callers: finds entries, fails over, resumes streams,
+ * and returns a `Result` whose error contains the verdict.
  *
  * @module
  */
@@ -28,53 +28,54 @@
   wholeAnswerSchema,
 } from "./caller_protocol.ts";
 import {
-  failUnreached,
+  createUnreachableFailure,
   readFailure,
-  RETRIED_KINDS,
+  RETRYABLE_KINDS,
 } from "./caller_failures.ts";
 import type { StreamProgress } from "./stream_reader.ts";
 import { readCallerStream } from "./stream_reader.ts";
 import { createStreamResumer } from "./stream_resumer.ts";
 
-/** What every request has. */
+/** Options that all requests have in common. */
 export interface RequestOptions {
   className: string;
   deadlineMs: Millis;
   idempotent: boolean;
   /**
-   * The id; by default one that is bound to the entry. To be able to ask again
-   * after a restart of the caller, keep the id from `createRequestId`.
+   * The request id; by default one that is bound to the entry. To be able to
+   * send the request again after a restart of the caller, store an id from
+   * `createRequestId` and pass it here.
    */
   id?: string;
-  /** The caller's own part of ids that are made; by default a unique text. */
+  /** Suffix of generated ids; by default a unique text. */
   idPart?: string;
 }
 
-/** A request of a pipeline. */
+/** A request to a pipeline. */
 export interface PipelineRequest extends RequestOptions {
   pipeline: string;
   body: PipelineBody;
 }
 
-/** A call of a plain service. */
+/** A request to a plain service. */
 export interface ServiceRequest extends RequestOptions {
   service: string;
   path: string;
   body: unknown;
 }
 
-/** The answer of a plain service. */
+/** The response of a plain service. */
 export interface ServiceAnswer {
   requestId: string;
   status: number;
   body: unknown;
 }
 
-/** A streamed answer that arrived whole. */
+/** A streamed response that was received completely. */
 export interface StreamedAnswer {
   requestId: string;
   tokens: string[];
-  /** How often the stream was resumed at an entry. */
+  /** How often the stream was resumed. */
   resumes: number;
   /** Time until the first token. */
   firstTokenMs: Millis;
@@ -91,9 +92,12 @@
   createUniqueText: () => string;
 }
 
-/** A client of one account. */
+/** A client of one client account. */
 export interface CallerClient {
-  /** An id for a request that may have to be asked for again later. */
+  /**
+   * Creates an id for a request that may have to be sent again later; undefined
+   * if no entry is known.
+   */
   createRequestId(): Promise<string | undefined>;
   runPipeline(request: PipelineRequest): Promise<Result<WholeAnswer, Failure>>;
   streamPipeline(
@@ -118,11 +122,11 @@
   number: number;
   remaining: Millis;
   signal: AbortSignal;
-  /** Told that the entry answers; from then on only the deadline counts. */
+  /** Called when the entry responds; from then on only the deadline applies. */
   onFirstByte: () => void;
 }
 
-/** An answer together with the id under which it was asked for. */
+/** A response together with the id of its request. */
 interface Answered<T> {
   id: string;
   value: T;
@@ -132,8 +136,8 @@
 
 const OK = 200;
 const MAX_ATTEMPTS = 5;
-/** Share of the time left after which another entry is tried. */
-const PATIENCE_SHARE = 0.5;
+/** Share of the remaining time after which another entry is tried. */
+const ATTEMPT_TIMEOUT_SHARE = 0.5;
 const ADDRESS_TIMEOUT: Millis = 1_000;
 
 /** Creates a client; it connects on first use. */
@@ -180,9 +184,9 @@
   }
 
   /**
-   * Sends a request to entries in turn until one gives a final answer. A
-   * non-idempotent request is sent on under the same id, which makes another
-   * entry look up what became of it instead of running it again.
+   * Sends a request to entries in turn until one returns a final response. A
+   * non-idempotent request keeps its id at the next entry, which then looks up
+   * the outcome of the earlier attempt instead of running the request again.
    */
   async function submit<T>(
     options: RequestOptions,
@@ -194,7 +198,7 @@
       options.deadlineMs,
       () => controller.abort(),
     );
-    let failure = failUnreached();
+    let failure = createUnreachableFailure();
     let id = options.id;
     let sent = 0;
     for (let turn = 0; turn < MAX_ATTEMPTS; turn++) {
@@ -204,10 +208,10 @@
       if (entry === undefined || remaining <= 0) break;
       id ??= formatBoundId(entry.binding, options.idPart ?? createUniqueText());
       const number = sent + 1;
-      const patience = options.idempotent && entries.length > 1
-        ? remaining * PATIENCE_SHARE
+      const attemptTimeout = options.idempotent && entries.length > 1
+        ? remaining * ATTEMPT_TIMEOUT_SHARE
         : remaining;
-      const attempt = startPatience(controller.signal, patience);
+      const attempt = startAttemptTimeout(controller.signal, attemptTimeout);
       const outcome = await send({
         entry,
         id,
@@ -225,12 +229,13 @@
         outcome.error.kind !== "unavailable";
       if (wasSent) sent++;
       failure = mergeFailure(failure, outcome.error);
-      // The owner promised that the old id never runs: a new one is safe.
+      // The entry that owns the old id has forbidden it for good, so a new id
+      // is safe.
       if (isForbidden(outcome.error)) sent = 0;
       else if (!isWorthRetrying(outcome.error, options)) break;
       if (isForbidden(outcome.error) && options.id !== undefined) break;
       addresses.demote(entry.address);
-      // A request that reached no entry may be bound to another one.
+      // A request that reached no entry may get an id bound to another entry.
       if (sent === 0 && options.id === undefined) id = undefined;
     }
     stopTimer();
@@ -238,14 +243,14 @@
   }
 
   /**
-   * Failure guarded against: an entry is frozen, takes connections and answers
-   * nothing. It shows as a request that hangs until its deadline. An idempotent
-   * request is sent to another entry while there is still time; one that is not
-   * stays, because no other entry may run it.
+   * Limits the time of one attempt. A frozen entry accepts connections but
+   * never responds, and a request to it would hang until its deadline. An
+   * idempotent request is sent to another entry while there is still time; a
+   * non-idempotent one waits, because no other entry may run it.
    */
-  function startPatience(signal: AbortSignal, patience: Millis) {
+  function startAttemptTimeout(signal: AbortSignal, timeoutMs: Millis) {
     const controller = new AbortController();
-    const stopTimer = clock.startTimer(patience, () => controller.abort());
+    const stopTimer = clock.startTimer(timeoutMs, () => controller.abort());
     return {
       signal: AbortSignal.any([signal, controller.signal]),
       stop: stopTimer,
@@ -256,13 +261,13 @@
     { kind, verdict }: Failure,
     { idempotent }: RequestOptions,
   ): boolean {
-    if (RETRIED_KINDS.has(kind)) return true;
+    if (RETRYABLE_KINDS.has(kind)) return true;
     if (kind === "cancelled" && idempotent) return true;
     // Asking another entry about a lost answer never runs the request again.
     return verdict === "may_have_run" && kind === "bad_reply" && idempotent;
   }
 
-  async function callWhole<T>(
+  async function callBuffered<T>(
     submission: Submission,
     parse: (status: number, body: unknown, id: string) => T | undefined,
   ): Promise<Result<Answered<T>, Failure>> {
@@ -299,7 +304,7 @@
       options: request,
       accept: "application/json",
     };
-    const answer = await callWhole(submission, (_status, body, id) => {
+    const answer = await callBuffered(submission, (_status, body, id) => {
       const parsed = wholeAnswerSchema.safeParse(body);
       return parsed.success && parsed.data.request_id === id
         ? parsed.data
@@ -319,7 +324,7 @@
       options: request,
       accept: "application/json",
     };
-    const answer = await callWhole(
+    const answer = await callBuffered(
       submission,
       (status, body) => ({ status, body }),
     );
@@ -333,7 +338,7 @@
     const startedAt = clock.now();
     const deadlineAt = startedAt + request.deadlineMs;
     let firstTokenMs = 0;
-    const note = (token: string, sequence: number) => {
+    const handleToken = (token: string, sequence: number) => {
       if (sequence === 0) firstTokenMs = clock.now() - startedAt;
       onToken(token, sequence);
     };
@@ -345,13 +350,13 @@
     };
     const opened = await submit(
       request,
-      (attempt) => openStream(submission, attempt, note),
+      (attempt) => openStream(submission, attempt, handleToken),
     );
     if (opened.isErr) return Result.err(opened.error);
-    const { progress, isWhole } = opened.value.value;
-    const resumes = isWhole
+    const { progress, isDone } = opened.value.value;
+    const resumes = isDone
       ? Result.ok<number, Failure>(0)
-      : await resumer.resume(progress, { deadlineAt, onToken: note });
+      : await resumer.resume(progress, { deadlineAt, onToken: handleToken });
     return resumes.map((count) => ({
       requestId: progress.requestId,
       tokens: progress.tokens,
@@ -387,9 +392,9 @@
     };
     const end = await readCallerStream(reply.value, { progress, onToken });
     if (end.kind === "failed") return Result.err(end.failure);
-    if (end.kind === "whole") return Result.ok({ progress, isWhole: true });
+    if (end.kind === "done") return Result.ok({ progress, isDone: true });
     if (progress.resumeToken !== undefined) {
-      return Result.ok({ progress, isWhole: false });
+      return Result.ok({ progress, isDone: false });
     }
     return Result.err(createFailure("unavailable", {
       verdict: "may_have_run",
@@ -408,17 +413,22 @@
 
 interface OpenedStream {
   progress: StreamProgress;
-  isWhole: boolean;
+  isDone: boolean;
 }
 
-/** The newest failure; its verdict covers all attempts before it. */
+/**
+ * Returns the latest failure with a verdict that covers all attempts so far.
+ */
 function mergeFailure(before: Failure, after: Failure): Failure {
   if (before.verdict === "not_run" || after.verdict === "ran") return after;
   if (isForbidden(after)) return after;
   return { ...after, verdict: before.verdict };
 }
 
-/** Whether the only entry that may run this id promised never to run it. */
+/**
+ * Whether the owner of the request id, the only entry that may run it, has
+ * forbidden it.
+ */
 function isForbidden({ kind, verdict }: Failure): boolean {
   return kind === "duplicate" && verdict === "not_run";
 }
--- a/packages/callers/src/caller_failures.ts
+++ b/packages/callers/src/caller_failures.ts
@@ -1,5 +1,5 @@
 /**
- * Failures as the embedded client sees them.
+ * Failures in the client library for callers.
  *
  * @module
  */
@@ -9,13 +9,13 @@
 import { parseJson } from "@mangoreach/shared";
 import { parseFailure } from "./caller_protocol.ts";
 
-/** Failures after which another entry is worth a try. */
-export const RETRIED_KINDS: ReadonlySet<Failure["kind"]> = new Set([
+/** Kinds of failure after which the request is retried at another entry. */
+export const RETRYABLE_KINDS: ReadonlySet<Failure["kind"]> = new Set([
   "unavailable",
   "stopping",
 ]);
 
-/** Reads the failure out of an answer that is no stream. */
+/** Reads the failure from a response that is not a stream. */
 export async function readFailure(reply: HttpStreamReply): Promise<Failure> {
   let text = "";
   try {
@@ -26,8 +26,8 @@
   return parseFailure(parseJson(text), reply.status);
 }
 
-/** Creates the failure of a request that reached no entry. */
-export function failUnreached(): Failure {
+/** Creates the failure of a request for which no entry was reachable. */
+export function createUnreachableFailure(): Failure {
   return createFailure("unavailable", {
     verdict: "not_run",
     message: "no entry could be reached in time",
--- a/packages/callers/src/caller_protocol.ts
+++ b/packages/callers/src/caller_protocol.ts
@@ -1,6 +1,6 @@
 /**
- * The protocol towards callers: HTTP/1.1 with JSON, and server-sent events for
- * streams. docs/operators/caller_protocol.md describes it for other languages.
+ * The caller protocol: HTTP/1.1 with JSON, and server-sent events for streams.
+ * docs/operators/caller_protocol.md describes it for other languages.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 export const CALLER_HEADERS = {
   requestId: "mangoreach-request-id",
   className: "mangoreach-class",
-  /** Milliseconds from now within which the whole answer must arrive. */
+  /** Milliseconds from now within which the complete answer must arrive. */
   deadlineMs: "mangoreach-deadline-ms",
-  /** `true` or `false`; the default is `false`: it must not run twice. */
+  /** `true` or `false`; by default `false`: the request must not run twice. */
   idempotent: "mangoreach-idempotent",
-  /** 1 states that this id was never sent before. */
+  /** Number of the attempt; 1 states that this id has not been sent before. */
   attempt: "mangoreach-attempt",
-  /** The caller's place, so that near entries are preferred. */
+  /** The caller's place, so that entries of the same place are preferred. */
   place: "mangoreach-place",
-  /** Sent back on every answer to a request. */
+  /** Set on every response to a request. */
   verdict: "mangoreach-verdict",
 } as const;
 
-/** Paths of the callers' protocol. */
+/** Paths of the caller protocol. */
 export const CALLER_PATHS = {
   addresses: "/v1/addresses",
   pipelines: "/v1/pipelines/",
@@ -32,7 +32,7 @@
   streams: "/v1/streams/",
 } as const;
 
-/** How an account proves who it is. */
+/** What an account authenticates with. */
 export interface Credentials {
   account: string;
   key: string;
@@ -67,16 +67,16 @@
 /** An entry that a caller may use. */
 export type EntryAddress = z.infer<typeof entryAddressSchema>;
 
-/** The answer to `GET /v1/addresses`, best address first. */
+/** The response to `GET /v1/addresses`, preferred address first. */
 export const addressAnswerSchema = z.object({
   addresses: z.array(entryAddressSchema),
-  /** How long the answer may be kept. */
+  /** How long the response may be cached. */
   keep_ms: z.number().min(0),
-  /** When to ask again, before the answer must be dropped. */
+  /** When to refresh it, which is before it expires. */
   ask_again_ms: z.number().min(0),
 });
 
-/** The answer to `GET /v1/addresses`. */
+/** The response to `GET /v1/addresses`. */
 export type AddressAnswer = z.infer<typeof addressAnswerSchema>;
 
 /** The body of a pipeline request. */
@@ -89,7 +89,7 @@
 /** The body of a pipeline request. */
 export type PipelineBody = z.infer<typeof pipelineBodySchema>;
 
-/** A whole answer of a pipeline. */
+/** The complete response of a pipeline that is not streamed. */
 export const wholeAnswerSchema = z.object({
   request_id: z.string(),
   pipeline: z.string(),
@@ -97,16 +97,16 @@
   output: z.unknown(),
 });
 
-/** A whole answer of a pipeline. */
+/** The complete response of a pipeline that is not streamed. */
 export type WholeAnswer = z.infer<typeof wholeAnswerSchema>;
 
-/** Events of a streamed answer, in order; `end` or `failed` comes last. */
+/** Events of a streamed response; the last one is `end` or `failed`. */
 export type CallerEventName = "start" | "token" | "end" | "failed";
 
 /** Data of the `start` event. */
 export const streamStartSchema = z.object({
   request_id: z.string(),
-  /** Lets any entry continue the stream; fit for one client account only. */
+  /** Lets any entry continue the stream; valid for one client account only. */
   resume_token: z.string(),
 });
 
@@ -142,7 +142,7 @@
   }),
 });
 
-/** The body of an answer that is a failure. */
+/** The body of a failure response. */
 export type FailureBody = z.infer<typeof failureBodySchema>;
 
 /** Formats a failure for the wire. */
@@ -153,7 +153,9 @@
   return { error: { ...error, retry_after_ms: Math.round(retryAfterMs) } };
 }
 
-/** Parses a failure; one that is unreadable may have run. */
+/**
+ * Parses a failure; if it is unreadable, the request counts as `may_have_run`.
+ */
 export function parseFailure(body: unknown, status: number): Failure {
   const parsed = failureBodySchema.safeParse(body);
   if (!parsed.success) {
--- a/packages/callers/src/mod.ts
+++ b/packages/callers/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The protocol towards callers and the client that a caller embeds.
+ * The caller protocol and the client library for callers.
  *
  * @module
  */
--- a/packages/callers/src/stream_reader.ts
+++ b/packages/callers/src/stream_reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a streamed answer of an entry and checks that it is whole: sequence
- * numbers without gaps and an end with the right count.
+ * Reads a streamed response of an entry and checks that it is complete:
+ * sequence numbers without gaps and an end event with the right token count.
  *
  * @module
  */
@@ -16,19 +16,19 @@
   streamTokenSchema,
 } from "./caller_protocol.ts";
 
-/** What has arrived of a streamed answer, over all connections. */
+/** What has been received of a streamed response, over all connections. */
 export interface StreamProgress {
   requestId: string;
   resumeToken: string | undefined;
   tokens: string[];
 }
 
-/** How reading one connection ended. */
+/** How reading from one connection ended. */
 export type StreamEnd =
-  | { kind: "whole" }
-  /** The entry gave a final answer. */
+  | { kind: "done" }
+  /** The entry reported a final failure. */
   | { kind: "failed"; failure: Failure }
-  /** The connection broke; the stream can be resumed. */
+  /** The connection broke or the stream was invalid; it can be resumed. */
   | { kind: "cut"; message: string };
 
 /** Options of {@linkcode readCallerStream}. */
@@ -37,7 +37,7 @@
   onToken: (token: string, sequence: number) => void;
 }
 
-/** Reads one connection's part of a streamed answer into `progress`. */
+/** Appends the events of one connection to `progress`. */
 export async function readCallerStream(
   reply: HttpStreamReply,
   { progress, onToken }: ReadStreamOptions,
@@ -49,11 +49,11 @@
       const events = parser.parse(decoder.decode(chunk, { stream: true }));
       if (events === "too_large") return createCut("an event is too large");
       for (const event of events) {
-        const end = takeEvent(event, { progress, onToken });
+        const end = applyEvent(event, { progress, onToken });
         if (end !== undefined) return end;
       }
     }
-    return createCut("the connection ended before the answer did");
+    return createCut("the connection closed before the end of the stream");
   } catch (error) {
     return createCut(error instanceof Error ? error.message : String(error));
   } finally {
@@ -61,7 +61,7 @@
   }
 }
 
-function takeEvent(
+function applyEvent(
   event: ServerSentEvent,
   { progress, onToken }: ReadStreamOptions,
 ): StreamEnd | undefined {
@@ -71,7 +71,7 @@
       const start = streamStartSchema.safeParse(data);
       if (!start.success) return createCut("malformed start");
       if (start.data.request_id !== progress.requestId) {
-        return failForeign(start.data.request_id);
+        return createMismatchFailure(start.data.request_id);
       }
       progress.resumeToken = start.data.resume_token;
       return undefined;
@@ -90,8 +90,11 @@
     }
     case "end": {
       const end = streamEndSchema.safeParse(data);
-      const isWhole = end.success && end.data.count === progress.tokens.length;
-      return isWhole ? { kind: "whole" } : createCut("the end does not match");
+      const isDone = end.success &&
+        end.data.count === progress.tokens.length;
+      return isDone
+        ? { kind: "done" }
+        : createCut("malformed end or wrong token count");
     }
     case "failed":
       return { kind: "failed", failure: parseFailure(data, 200) };
@@ -104,7 +107,7 @@
   return { kind: "cut", message };
 }
 
-function failForeign(requestId: string): StreamEnd {
+function createMismatchFailure(requestId: string): StreamEnd {
   const failure = createFailure("bad_reply", {
     verdict: "may_have_run",
     message: `the answer belongs to request ${requestId}`,
--- a/packages/callers/src/stream_resumer.ts
+++ b/packages/callers/src/stream_resumer.ts
@@ -1,5 +1,5 @@
 /**
- * Continues a streamed answer at other entries until it is whole.
+ * Resumes a streamed response at other entries until it is complete.
  *
  * @module
  */
@@ -9,30 +9,32 @@
 import { Result } from "true-myth";
 import type { AddressBook } from "./address_book.ts";
 import {
-  failUnreached,
+  createUnreachableFailure,
   readFailure,
-  RETRIED_KINDS,
+  RETRYABLE_KINDS,
 } from "./caller_failures.ts";
 import { CALLER_PATHS } from "./caller_protocol.ts";
 import type { StreamEnd, StreamProgress } from "./stream_reader.ts";
 import { readCallerStream } from "./stream_reader.ts";
 
-/** Continues streams. */
+/** Resumes streams. */
 export interface StreamResumer {
-  /** Reads the rest into `progress`; the number of times it was resumed. */
+  /**
+   * Reads the rest into `progress`; returns how often the stream was resumed.
+   */
   resume(
     progress: StreamProgress,
     options: ResumeOptions,
   ): Promise<Result<number, Failure>>;
 }
 
-/** Until when, and where tokens go. */
+/** Options of {@linkcode StreamResumer.resume}. */
 export interface ResumeOptions {
   deadlineAt: Millis;
   onToken: (token: string, sequence: number) => void;
 }
 
-/** What a resumer needs of its client. */
+/** Options of {@linkcode createStreamResumer}. */
 export interface StreamResumerOptions {
   clock: Clock;
   http: HttpClient;
@@ -41,11 +43,13 @@
 }
 
 const OK = 200;
-const RESUME_PAUSE: Millis = 50;
-/** Share of the time left after which a silent entry is left for another. */
-const PATIENCE_SHARE = 0.3;
+const RESUME_DELAY: Millis = 50;
+/**
+ * Share of the remaining time after which an unresponsive entry is abandoned.
+ */
+const RESPONSE_TIMEOUT_SHARE = 0.3;
 
-/** Creates the resumer of a client. */
+/** Creates the stream resumer of a client. */
 export function createStreamResumer(
   { clock, http, addresses, authorization }: StreamResumerOptions,
 ): StreamResumer {
@@ -53,40 +57,43 @@
     progress: StreamProgress,
     options: ResumeOptions,
   ): Promise<Result<number, Failure>> {
-    let failure = failUnreached();
+    let failure = createUnreachableFailure();
     for (let resumes = 1; clock.now() < options.deadlineAt; resumes++) {
       const entries = await addresses.list();
       const entry = entries[resumes % Math.max(1, entries.length)];
       if (entry === undefined) break;
-      const end = await readOn(entry.address, { progress, options });
-      if (end.kind === "whole") return Result.ok(resumes);
+      const end = await resumeAt(entry.address, { progress, options });
+      if (end.kind === "done") return Result.ok(resumes);
       if (end.kind === "failed") {
         failure = end.failure;
-        if (!RETRIED_KINDS.has(failure.kind)) return Result.err(failure);
+        if (!RETRYABLE_KINDS.has(failure.kind)) return Result.err(failure);
       }
       addresses.demote(entry.address);
-      await clock.sleep(RESUME_PAUSE);
+      await clock.sleep(RESUME_DELAY);
     }
     return Result.err({ ...failure, verdict: "may_have_run" });
   }
 
-  async function readOn(
+  async function resumeAt(
     address: string,
     { progress, options }: { progress: StreamProgress; options: ResumeOptions },
   ): Promise<StreamEnd> {
     const remaining = options.deadlineAt - clock.now();
     const deadline = startTimeout(clock, remaining);
-    // A frozen entry takes the connection and says nothing.
-    const patience = startTimeout(clock, remaining * PATIENCE_SHARE);
+    // A frozen entry accepts the connection but sends no response.
+    const responseTimeout = startTimeout(
+      clock,
+      remaining * RESPONSE_TIMEOUT_SHARE,
+    );
     const { resumeToken, tokens } = progress;
     const reply = await http.callStream({
       method: "GET",
       address,
       path: `${CALLER_PATHS.streams}${resumeToken}?next=${tokens.length}`,
       headers: { authorization },
-      signal: AbortSignal.any([deadline.signal, patience.signal]),
+      signal: AbortSignal.any([deadline.signal, responseTimeout.signal]),
     });
-    patience.stop();
+    responseTimeout.stop();
     const end = await readReply();
     deadline.stop();
     return end;
--- a/packages/engines/src/engine_client.ts
+++ b/packages/engines/src/engine_client.ts
@@ -1,5 +1,6 @@
 /**
- * Model engines: generate, resume, cancel, load reports and cache events.
+ * Client of model engines: generate, resume and cancel, load reports and cache
+ * events.
  *
  * @module
  */
@@ -34,7 +35,7 @@
 import type { GenerationEvent } from "./generation.ts";
 import { readGeneration } from "./generation.ts";
 
-/** What an engine is asked to generate. */
+/** A request to generate. */
 export interface GenerateCall extends CallIdentity {
   endpoint: EndpointInfo;
   model: string;
@@ -42,19 +43,22 @@
   /** The part of the prompt that many requests share. */
   prefix: string;
   maxTokens: number;
-  /** 1 is the highest; engines honour it in their own queue. */
+  /** 1 is the highest; engines order their own queue by it. */
   priority: number;
-  /** How long the engine goes on without a reader, for a resume. */
+  /**
+   * How long the engine keeps generating without a reader, so that the stream
+   * can be resumed.
+   */
   lingerMs: Millis;
   causalTime: string;
   signal: AbortSignal;
 }
 
-/** Where a generation goes on. */
+/** The position at which a generation is resumed. */
 export interface ResumeCall {
   endpoint: EndpointInfo;
   streamId: string;
-  /** Sequence number of the first token that is still missing. */
+  /** Sequence number of the first token that has not been received. */
   next: number;
   signal: AbortSignal;
 }
@@ -63,18 +67,19 @@
 export interface EngineClientOptions {
   clock: Clock;
   onAnswer: OnAnswer;
+  /** Called when a response is dropped because it belongs to another call. */
   onDropped: (call: CallIdentity) => void;
-  /** For load reports, cache events and cancels. */
+  /** Time-out of load reports, cache events and cancels. */
   timeoutMs: Millis;
 }
 
-/** All model engines of a site. */
+/** Client of all model engines of a site. */
 export interface EngineClient {
-  /** Generates; the result's events end with `end` or `broken`. */
+  /** Starts a generation; its last event is `end` or `broken`. */
   generate(call: GenerateCall): AsyncGenerator<GenerationEvent>;
-  /** Reads a generation on from a token, also one started by another entry. */
+  /** Resumes a generation at a token; another entry may have started it. */
   resume(call: ResumeCall): AsyncGenerator<GenerationEvent>;
-  /** Stops a generation that nobody waits for. */
+  /** Stops a generation whose result is no longer needed. */
   cancel(endpoint: EndpointInfo, streamId: string): Promise<void>;
   readLoad(endpoint: EndpointInfo): Promise<Result<LoadReport, Failure>>;
   readCacheEvents(
@@ -88,7 +93,7 @@
   running: z.number().min(0),
   queued: z.number().min(0),
   slots: z.number().min(1),
-  /** How long ago the engine took the reading, in milliseconds. */
+  /** Age of the measurement, in milliseconds. */
   age_ms: z.number().min(0),
 });
 
@@ -102,7 +107,7 @@
 
 const OK = 200;
 
-/** Creates the handle. */
+/** Creates the client. */
 export function createEngineClient(
   { clock, onAnswer, onDropped, timeoutMs }: EngineClientOptions,
 ): EngineClient {
@@ -133,7 +138,10 @@
     for await (const event of events) {
       if (event.kind === "start" && !isEchoOf(event.echo, call)) {
         onDropped(call);
-        return yield { kind: "broken", failure: failEcho(endpoint) };
+        return yield {
+          kind: "broken",
+          failure: createMismatchFailure(endpoint),
+        };
       }
       yield event;
     }
@@ -161,14 +169,14 @@
     endpoint: EndpointInfo,
     streamId: string,
   ): Promise<void> {
-    await callSmall({
+    await callWithTimeout({
       method: "DELETE",
       address: endpoint.address,
       path: `/streams/${encodeURIComponent(streamId)}`,
     });
   }
 
-  async function callSmall(
+  async function callWithTimeout(
     call: HttpCall,
   ): Promise<Result<HttpReply, Failure>> {
     const timeout = startTimeout(clock, timeoutMs);
@@ -181,7 +189,7 @@
     endpoint: EndpointInfo,
   ): Promise<Result<LoadReport, Failure>> {
     const sentAt = clock.now();
-    const reply = await callSmall({
+    const reply = await callWithTimeout({
       method: "GET",
       address: endpoint.address,
       path: "/load",
@@ -189,7 +197,7 @@
     if (reply.isErr) return Result.err(reply.error);
     onAnswer({ endpoint, headers: reply.value.headers, sentAt });
     const load = loadSchema.safeParse(readReplyJson(reply.value));
-    if (!load.success) return Result.err(failMalformed(endpoint));
+    if (!load.success) return Result.err(createMalformedFailure(endpoint));
     const { age_ms: age, ...counts } = load.data;
     return Result.ok({ ...counts, takenAt: clock.now() - age });
   }
@@ -199,7 +207,7 @@
     after: number,
   ): Promise<Result<CacheEvent[], Failure>> {
     const sentAt = clock.now();
-    const reply = await callSmall({
+    const reply = await callWithTimeout({
       method: "GET",
       address: endpoint.address,
       path: `/cache_events?after=${after}`,
@@ -207,7 +215,7 @@
     if (reply.isErr) return Result.err(reply.error);
     onAnswer({ endpoint, headers: reply.value.headers, sentAt });
     const body = cacheEventsSchema.safeParse(readReplyJson(reply.value));
-    if (!body.success) return Result.err(failMalformed(endpoint));
+    if (!body.success) return Result.err(createMalformedFailure(endpoint));
     return Result.ok(body.data.events);
   }
 
@@ -258,7 +266,8 @@
       if (text.length > MAX_REFUSAL_BYTES) break;
     }
   } catch {
-    // A cut refusal cannot be parsed and so counts as "may have run".
+    // A truncated refusal can't be parsed, so the call counts as "may have
+    // run".
     return "";
   }
   return text;
@@ -276,14 +285,14 @@
   });
 }
 
-function failEcho(endpoint: EndpointInfo): Failure {
+function createMismatchFailure(endpoint: EndpointInfo): Failure {
   return createFailure("bad_reply", {
     verdict: "may_have_run",
     message: `${endpoint.id}: the stream belongs to another request`,
   });
 }
 
-function failMalformed(endpoint: EndpointInfo): Failure {
+function createMalformedFailure(endpoint: EndpointInfo): Failure {
   return createFailure("bad_reply", {
     verdict: "not_run",
     message: `${endpoint.id}: the report is malformed`,
--- a/packages/engines/src/engine_contract_test.ts
+++ b/packages/engines/src/engine_contract_test.ts
@@ -106,15 +106,15 @@
 
   const EXPECTED = deriveTokens(PROMPT, MAX_TOKENS);
 
-  it("streams a generation whole and in order", async () => {
+  it("streams a complete generation in order", async () => {
     const { tokens, last } = await collect(generate());
     expect(tokens).to.deep.equal(EXPECTED);
     expect(last).to.deep.equal({ kind: "end", count: EXPECTED.length });
   });
 
-  // A ruling stops in the middle of a sentence because the connection to the
-  // engine broke. The engine goes on for a while; resuming from the next token
-  // gives the rest, without a gap and without a repetition.
+  // The connection to the engine breaks in the middle of a stream. The engine
+  // keeps generating for the linger time; resuming at the next token returns
+  // the rest without missing or repeated tokens.
   it("resumes a broken stream from the next token", async () => {
     standin.faults.cutAnswers = 1;
     const broken = await collect(generate());
@@ -128,7 +128,7 @@
     expect([...broken.tokens, ...rest.tokens]).to.deep.equal(EXPECTED);
   });
 
-  it("does not give a cancelled stream back", async () => {
+  it("does not resume a cancelled stream", async () => {
     const events = generate();
     const first = await events.next();
     const streamId = first.value?.kind === "start" ? first.value.streamId : "";
@@ -151,7 +151,7 @@
     expect(dropped).to.equal(1);
   });
 
-  it("refuses a model that it does not hold with not_run", async () => {
+  it("refuses a model that is not loaded with not_run", async () => {
     const { last } = await collect(generate(undefined, "other"));
     expect(last?.kind === "broken" && last.failure.verdict).to.equal("not_run");
   });
@@ -195,7 +195,7 @@
   ];
 
   for (const { name, text } of BAD_STREAMS) {
-    it(`never ends whole on a stream with ${name}`, async () => {
+    it(`reports a stream with ${name} as broken`, async () => {
       const server = await startScriptedServer({
         kind: "cut",
         bytes: `HTTP/1.1 200 X\r\nconnection: close\r\n\r\n${text}`,
@@ -212,9 +212,9 @@
     desired: { models: MODELS, role: "both" as const },
   });
 
-  // A holder is paused past its lease; another takes over and orders the engine;
-  // the first wakes and sends its order. An engine that checks fencing numbers
-  // refuses it, because the number is lower than the highest it has seen.
+  // A lease holder is paused until its lease has expired and another holder has
+  // sent an order; then the first one resumes and sends its own. An engine that
+  // checks fencing numbers refuses it, as its number is below the highest seen.
   it("refuses an order with an old fencing number", async () => {
     expect((await orders.send(order(7))).isOk).to.equal(true);
     const late = await orders.send(order(5));
@@ -225,7 +225,7 @@
     expect(standin.orders.map(({ fence }) => fence)).to.deep.equal([7]);
   });
 
-  it("takes the same order again when the engine does not check", async () => {
+  it("accepts an order with a lower fencing number when the engine does not check", async () => {
     await standin.stop();
     await start(false);
     await orders.send(order(7));
--- a/packages/engines/src/engine_orders.ts
+++ b/packages/engines/src/engine_orders.ts
@@ -1,11 +1,11 @@
 /**
- * Orders to model engines: which models, adapters and versions to hold and
- * which role to play. An order is written as the whole desired state, so that a
- * late or repeated one is harmless and the next one corrects it.
+ * Orders to model engines: which models, versions and adapters to load and
+ * which role to run in. An order contains the complete desired state, so a
+ * delayed or repeated order does no lasting harm: the next order replaces it.
  *
- * Wire format: `POST /orders` with `{"fence":…,"desired":…}` answers 200
- * `{"fence":…}`, or 409 `{"highest_fence":…}` from an engine that checks fencing
- * numbers. `GET /state` answers what the engine holds.
+ * Wire format: `POST /orders` with `{"fence":…,"desired":…}` returns 200 with
+ * `{"fence":…}`, or 409 with `{"highest_fence":…}` from an engine that checks
+ * fencing numbers. `GET /state` returns the state that the engine is in.
  *
  * @module
  */
@@ -20,17 +20,17 @@
 import { Result } from "true-myth";
 import * as z from "zod";
 
-/** What an engine is for: all of generation or one half of it. */
+/** Which phases of generation an engine runs: prefill, decode or both. */
 export type EngineRole = "both" | "prefill" | "decode";
 
-/** A model, with the version of its weights and its adapters. */
+/** A model, the version of its weights, and its adapters. */
 export interface ModelAssignment {
   name: string;
   version: string;
   adapters: string[];
 }
 
-/** The whole state that an engine should be in. */
+/** The complete state that an engine is to reach. */
 export interface DesiredState {
   models: ModelAssignment[];
   role: EngineRole;
@@ -47,10 +47,10 @@
   role: z.enum(["both", "prefill", "decode"]),
 });
 
-/** What an engine says it holds. */
+/** The state that an engine reports. */
 export type EngineState = z.infer<typeof stateSchema>;
 
-/** An order under a lease. */
+/** An order that is sent under a lease. */
 export interface EngineOrder {
   endpoint: EndpointInfo;
   /** The fencing number of the lease. */
@@ -64,17 +64,20 @@
   timeoutMs: Millis;
 }
 
-/** Sends orders. */
+/** Sends orders to engines and reads their state and cached prefixes. */
 export interface EngineOrderClient {
-  /** Sends an order; `rejected` when the engine knows a higher number. */
+  /**
+   * Sends an order; fails with `rejected` if the engine has seen a higher
+   * fencing number.
+   */
   send(order: EngineOrder): Promise<Result<void, Failure>>;
   readState(endpoint: EndpointInfo): Promise<Result<EngineState, Failure>>;
-  /** Reads the cached prefix of an engine as bytes. */
+  /** Downloads the cache entry of a prefix from an engine. */
   exportCache(
     endpoint: EndpointInfo,
     prefix: string,
   ): Promise<Result<string, Failure>>;
-  /** Puts a cached prefix into an engine. */
+  /** Uploads the cache entry of a prefix to an engine. */
   importCache(
     endpoint: EndpointInfo,
     cache: { prefix: string; data: string },
@@ -85,7 +88,7 @@
 const OK = 200;
 const CONFLICT = 409;
 
-/** Creates the handle. */
+/** Creates a client for the orders to all engines. */
 export function createEngineOrderClient(
   { clock, timeoutMs }: EngineOrderClientOptions,
 ): EngineOrderClient {
--- a/packages/engines/src/generation.ts
+++ b/packages/engines/src/generation.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the token stream of a model engine and checks that it is whole.
+ * Reads the token stream of a model engine and checks that it is complete.
  *
  * Wire format, server-sent events: `start` with
  * `{"request_id":…,"stage":…,"attempt":…,"stream_id":…}`; `token` with the
@@ -22,7 +22,7 @@
   text: string;
 }
 
-/** What is read from a generation, in order; `end` or `broken` comes last. */
+/** An event of a generation; the last one is `end` or `broken`. */
 export type GenerationEvent =
   | { kind: "start"; streamId: string; echo: z.infer<typeof echoSchema> }
   | { kind: "tokens"; tokens: Token[] }
@@ -33,7 +33,7 @@
 const tokenSchema = z.object({ text: z.string() });
 const endSchema = z.object({ count: z.number().int().min(0) });
 
-/** Reads a generation whose next token has the sequence number `next`. */
+/** Reads a generation from the token with sequence number `next` on. */
 export async function* readGeneration(
   reply: HttpStreamReply,
   { peer, next }: { peer: string; next: number },
@@ -45,17 +45,17 @@
     for await (const chunk of reply.body as AsyncIterable<Buffer>) {
       const parsed = parser.parse(decoder.decode(chunk, { stream: true }));
       if (parsed === "too_large") {
-        yield createBroken(peer, "an event is too large");
+        yield createBrokenEvent(peer, "an event is too large");
         return;
       }
-      const batch = readBatch(parsed, expected);
+      const batch = parseBatch(parsed, expected);
       expected += batch.tokens.length;
       if (batch.start !== undefined) yield batch.start;
       if (batch.tokens.length > 0) {
         yield { kind: "tokens", tokens: batch.tokens };
       }
       if (batch.fault !== undefined) {
-        yield createBroken(peer, batch.fault);
+        yield createBrokenEvent(peer, batch.fault);
         return;
       }
       if (batch.end !== undefined) {
@@ -63,10 +63,10 @@
         return;
       }
     }
-    yield createBroken(peer, "the stream ended without its end event");
+    yield createBrokenEvent(peer, "the stream ended without its end event");
   } catch (error) {
     const message = error instanceof Error ? error.message : String(error);
-    yield createBroken(peer, `the stream broke: ${message}`);
+    yield createBrokenEvent(peer, `the stream broke: ${message}`);
   } finally {
     reply.body.destroy();
   }
@@ -79,7 +79,7 @@
   fault?: string;
 }
 
-function readBatch(
+function parseBatch(
   events: readonly ServerSentEvent[],
   firstExpected: number,
 ): Batch {
@@ -112,7 +112,7 @@
   return batch;
 }
 
-function createBroken(peer: string, message: string): GenerationEvent {
+function createBrokenEvent(peer: string, message: string): GenerationEvent {
   return {
     kind: "broken",
     failure: createFailure("bad_reply", {
--- a/packages/engines/src/mod.ts
+++ b/packages/engines/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Model engines: generation, load, cache events and orders.
+ * Clients of model engines: generation, load reports, cache events and orders.
  *
  * @module
  */
