--- a/packages/ctl/src/command.ts
+++ b/packages/ctl/src/command.ts
@@ -1,13 +1,13 @@
 /**
- * What every command of `mangoreachctl` gives back.
+ * The result of a command of `mangoreachctl`.
  *
  * @module
  */
 
-/** The result of a command, for people and for scripts. */
+/** The result of a command, as text and as JSON for scripts. */
 export interface CommandResult {
-  /** Whether what was asked for was done. */
-  isGood: boolean;
+  /** Whether the command succeeded. */
+  isSuccess: boolean;
   text: string;
   json: unknown;
 }
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The program `mangoreachctl`.
+ * The command-line tool `mangoreachctl`.
  *
  * @module
  */
@@ -59,7 +59,7 @@
 const EXIT_USAGE = 2;
 const DEFAULT_WAIT = "10000";
 
-/** A fault of the command line or of a file; ends with status 2. */
+/** An error in the command line or in a file; the exit status is 2. */
 class UsageError extends Error {}
 
 function readOptions() {
@@ -82,7 +82,7 @@
 
 type Options = ReturnType<typeof readOptions>["values"];
 
-function readFileChecked<T>(schema: z.ZodType<T>, file: string): T {
+function loadValidated<T>(schema: z.ZodType<T>, file: string): T {
   let text: string;
   try {
     text = readFileSync(file, "utf8");
@@ -104,12 +104,12 @@
   if (file === undefined) {
     throw new UsageError("a configuration file is needed");
   }
-  return readFileChecked<ConfigDocument>(configDocumentSchema, file);
+  return loadValidated<ConfigDocument>(configDocumentSchema, file);
 }
 
 function readSettings({ settings }: Options): OperatorSettings {
   if (settings === undefined) throw new UsageError("--settings is needed");
-  return readFileChecked<OperatorSettings>(operatorSettingsSchema, settings);
+  return loadValidated<OperatorSettings>(operatorSettingsSchema, settings);
 }
 
 function readCount(text: string | undefined, option: string) {
@@ -124,7 +124,11 @@
 ): Promise<CommandResult> {
   if (command === "check") {
     readConfig(argument);
-    return { isGood: true, text: `${argument}: good\n`, json: { good: true } };
+    return {
+      isSuccess: true,
+      text: `${argument}: good\n`,
+      json: { good: true },
+    };
   }
   const runSite = SITE_COMMANDS[command ?? ""];
   if (runSite === undefined) throw new UsageError(USAGE);
@@ -172,7 +176,7 @@
   process.stdout.write(
     options.json ? `${JSON.stringify(result.json)}\n` : result.text,
   );
-  process.exitCode = result.isGood ? 0 : EXIT_FAILED;
+  process.exitCode = result.isSuccess ? 0 : EXIT_FAILED;
 }
 
 run().catch((error) => {
--- a/packages/ctl/src/publish_command.ts
+++ b/packages/ctl/src/publish_command.ts
@@ -1,6 +1,6 @@
 /**
  * `mangoreachctl publish`: publishes a configuration and waits until it is in
- * force at every live entry, or says where it is not.
+ * force at every live entry, or lists the entries where it is not.
  *
  * @module
  */
@@ -17,22 +17,22 @@
 } from "@mangoreach/operators";
 import type { Millis } from "@mangoreach/shared";
 import type { CommandResult } from "./command.ts";
-import type { EntryReading, SiteAccess } from "./site_access.ts";
+import type { EntryStatusResult, SiteAccess } from "./site_access.ts";
 
 /** Options of {@linkcode runPublish}. */
 export interface PublishCommandOptions {
   config: ConfigDocument;
   author: string;
-  /** The version that the author saw; by default the one in force. */
+  /** The version that the change is based on; by default the one in force. */
   basedOn: number | undefined;
-  /** The same id makes trying again safe. */
+  /** The id of an earlier publish to retry safely; by default a new one. */
   publishId: string | undefined;
   isDryRun: boolean;
   waitMs: Millis;
 }
 
 const PUBLISH_TIMEOUT: Millis = 10_000;
-const STATUS_PAUSE: Millis = 100;
+const STATUS_INTERVAL: Millis = 100;
 
 /** Runs the command. */
 export async function runPublish(
@@ -41,7 +41,7 @@
 ): Promise<CommandResult> {
   const inForce = await readInForce(site);
   if (inForce.kind === "failed") {
-    return { isGood: false, text: `${inForce.message}\n`, json: inForce };
+    return { isSuccess: false, text: `${inForce.message}\n`, json: inForce };
   }
   const { active } = inForce;
   if (options.isDryRun) return describeDryRun(active, options.config);
@@ -68,7 +68,7 @@
         `meanwhile; yours was based on ${basedOn}\n` +
         `look at it with "mangoreachctl show", then publish again\n`;
       return {
-        isGood: false,
+        isSuccess: false,
         text,
         json: { kind: "conflict", version, author },
       };
@@ -77,16 +77,16 @@
       const text = `not known whether it was published: ` +
         `${outcome.failure.message}\n` +
         `publish again with --publish-id ${publishId}; it counts once\n`;
-      return { isGood: false, text, json: { kind: "unknown", publishId } };
+      return { isSuccess: false, text, json: { kind: "unknown", publishId } };
     }
   }
 }
 
-type InForceReading =
+type InForceResult =
   | { kind: "read"; active: ActiveConfig | undefined }
   | { kind: "failed"; message: string };
 
-async function readInForce(site: SiteAccess): Promise<InForceReading> {
+async function readInForce(site: SiteAccess): Promise<InForceResult> {
   const state = await readConfigState(site.log);
   if (state.isErr) return { kind: "failed", message: state.error.message };
   return { kind: "read", active: state.value.fold.inForce };
@@ -103,7 +103,7 @@
   const lines = changes.map(formatChange);
   const text = [`dry run: ${base}`, ...lines, ""].join("\n");
   return {
-    isGood: true,
+    isSuccess: true,
     text: changes.length === 0 ? `dry run: ${base}; no difference\n` : text,
     json: { kind: "dry_run", version: active?.version ?? 0, changes },
   };
@@ -121,15 +121,15 @@
 ): Promise<CommandResult> {
   const startedAt = site.clock.now();
   for (;;) {
-    const readings = await site.readStatuses();
-    const versions = listVersions(readings);
+    const results = await site.readStatuses();
+    const versions = listVersions(results);
     const lacking = [...versions]
       .filter(([, reached]) => reached < version)
       .map(([entry]) => entry);
     const elapsed = Math.round(site.clock.now() - startedAt);
     if (lacking.length === 0 && versions.size > 0) {
       return {
-        isGood: true,
+        isSuccess: true,
         text: `version ${version} is in force at all ${versions.size} ` +
           `entries after ${elapsed} ms\n`,
         json: { kind: "in_force", version, entries: versions.size, elapsed },
@@ -137,31 +137,32 @@
     }
     if (elapsed >= waitMs) {
       return {
-        isGood: false,
+        isSuccess: false,
         text: `version ${version} is accepted; not yet seen in force at: ` +
           `${lacking.join(", ") || "(no entry is listed)"}\n`,
         json: { kind: "accepted", version, lacking },
       };
     }
-    await site.clock.sleep(STATUS_PAUSE);
+    await site.clock.sleep(STATUS_INTERVAL);
   }
 }
 
 /**
- * The version in force at each entry that is listed or known to its peers; the
- * instance list lags and may not name a new entry yet.
+ * Returns the version in force at each entry that is listed or known to its
+ * peers: the instance list lags behind and may not contain a new entry yet.
  */
 function listVersions(
-  readings: readonly EntryReading[],
+  results: readonly EntryStatusResult[],
 ): Map<string, number> {
   const versions = new Map<string, number>();
-  for (const { status } of readings) {
+  for (const { status } of results) {
     for (const peer of status.isOk ? status.value.peers : []) {
       if (peer.health === "alive") versions.set(peer.entry, peer.configVersion);
     }
   }
-  // An entry's own word is newer than what its peers heard.
-  for (const { entry, status } of readings) {
+  // The status that an entry reports is fresher than what its peers report of
+  // it.
+  for (const { entry, status } of results) {
     versions.set(entry, status.isOk ? status.value.configVersion : 0);
   }
   return versions;
--- a/packages/ctl/src/read_commands.ts
+++ b/packages/ctl/src/read_commands.ts
@@ -1,13 +1,13 @@
 /**
- * The commands of `mangoreachctl` that read: show, status, attainment; and
- * drain, which asks one entry to stop gracefully.
+ * The read commands of `mangoreachctl`, which are show, status and attainment,
+ * and the command drain, which stops one entry gracefully.
  *
  * @module
  */
 import type { ClassAttainment } from "@mangoreach/coordination";
 import { readConfigState } from "@mangoreach/operators";
 import type { CommandResult } from "./command.ts";
-import type { EntryReading, SiteAccess } from "./site_access.ts";
+import type { EntryStatusResult, SiteAccess } from "./site_access.ts";
 import { formatTable } from "./table.ts";
 
 /** Shows the configuration in force. */
@@ -19,13 +19,13 @@
   const { version, author, config } = inForce;
   const text = `// version ${version}, published by ${author}\n` +
     `${JSON.stringify(config, null, 2)}\n`;
-  return { isGood: true, text, json: inForce };
+  return { isSuccess: true, text, json: inForce };
 }
 
-/** Shows which entries live, what is in force there, and how busy they are. */
+/** Shows the state, the version in force and the load of each entry. */
 export async function runStatus(site: SiteAccess): Promise<CommandResult> {
-  const readings = await site.readStatuses();
-  const rows = readings.map(formatStatusRow);
+  const results = await site.readStatuses();
+  const rows = results.map(formatStatusRow);
   const heading = [
     "ENTRY",
     "PLACE",
@@ -36,11 +36,11 @@
     "PEERS",
   ];
   return {
-    isGood: readings.length > 0 && readings.every(({ status }) => status.isOk),
-    text: readings.length > 0
+    isSuccess: results.length > 0 && results.every(({ status }) => status.isOk),
+    text: results.length > 0
       ? formatTable(heading, rows)
       : "no entry is listed\n",
-    json: readings.map(({ entry, address, status }) =>
+    json: results.map(({ entry, address, status }) =>
       status.isOk
         ? status.value
         : { entry, address, error: status.error.message }
@@ -48,7 +48,7 @@
   };
 }
 
-function formatStatusRow({ entry, status }: EntryReading): string[] {
+function formatStatusRow({ entry, status }: EntryStatusResult): string[] {
   if (status.isErr) return [entry, "", `no answer: ${status.error.message}`];
   const { place, state, isReady, configVersion, isLogReachable, inProgress } =
     status.value;
@@ -64,15 +64,17 @@
   ];
 }
 
-/** Shows attainment by class and cost by stage, over all live entries. */
+/**
+ * Shows attainment by class and cost by pool, over all entries that respond.
+ */
 export async function runAttainment(
   site: SiteAccess,
 ): Promise<CommandResult> {
-  const [readings, state] = await Promise.all([
+  const [results, state] = await Promise.all([
     site.readStatuses(),
     readConfigState(site.log),
   ]);
-  const statuses = readings.flatMap(({ status }) =>
+  const statuses = results.flatMap(({ status }) =>
     status.isOk ? [status.value] : []
   );
   const classes = sumClasses(statuses.flatMap(({ attainment }) => attainment));
@@ -96,7 +98,7 @@
   ]);
   const text = formatTable(CLASS_HEADING, classRows) + "\n" +
     formatTable(COST_HEADING, costRows);
-  return { isGood: statuses.length > 0, text, json: { classes, costs } };
+  return { isSuccess: statuses.length > 0, text, json: { classes, costs } };
 }
 
 const CLASS_HEADING = [
@@ -154,7 +156,7 @@
   return share === undefined ? "-" : `${(100 * share).toFixed(2)}%`;
 }
 
-/** Asks one entry to stop gracefully. */
+/** Requests one entry to stop gracefully. */
 export async function runDrain(
   site: SiteAccess,
   entry: string,
@@ -165,9 +167,9 @@
   const drained = await site.entries.drain(found.address);
   if (drained.isErr) return fail(drained.error.message);
   const text = `${entry} leaves; it stops when its requests are done\n`;
-  return { isGood: true, text, json: { entry, draining: true } };
+  return { isSuccess: true, text, json: { entry, draining: true } };
 }
 
 function fail(message: string): CommandResult {
-  return { isGood: false, text: `${message}\n`, json: { error: message } };
+  return { isSuccess: false, text: `${message}\n`, json: { error: message } };
 }
--- a/packages/ctl/src/site_access.ts
+++ b/packages/ctl/src/site_access.ts
@@ -1,5 +1,6 @@
 /**
- * How the operators' programs reach a site: its log and all of its entries.
+ * Access to the log and all entries of a site for the operators' command-line
+ * tools.
  *
  * @module
  */
@@ -20,25 +21,28 @@
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { Result } from "true-myth";
 
-/** The status of an entry, or why there is none. */
-export interface EntryReading {
+/** The status of an entry, or why it could not be read. */
+export interface EntryStatusResult {
   entry: string;
   address: string;
   status: Result<EntryStatus, Failure>;
 }
 
-/** A site as operators reach it. */
+/** Access to the log and the entries of a site. */
 export interface SiteAccess {
   readonly clock: Clock;
   readonly log: LogClient;
   readonly entries: OperatorClient;
-  readStatuses(): Promise<EntryReading[]>;
-  /** Control addresses by entry name. */
+  readStatuses(): Promise<EntryStatusResult[]>;
+  /**
+   * Lists the control addresses of entries: those listed, then those of the
+   * settings.
+   */
   listEntries(): Promise<EntryAddress[]>;
   close(): Promise<void>;
 }
 
-/** Where an entry's control port is. */
+/** The control address of an entry. */
 export interface EntryAddress {
   entry: string;
   address: string;
@@ -46,7 +50,7 @@
 
 const TIMEOUT: Millis = 2_000;
 
-/** Creates the access; it connects on first use. */
+/** Creates the access to a site; it connects on first use. */
 export function createSiteAccess(
   settings: OperatorSettings,
   clock: Clock,
@@ -68,14 +72,14 @@
   });
 
   async function listEntries(): Promise<EntryAddress[]> {
-    const listed = await readListed(instances);
+    const listed = await fetchListedEntries(instances);
     const known = new Set(listed.map(({ address }) => address));
     const extra = settings.entries.filter((address) => !known.has(address))
       .map((address) => ({ entry: address, address }));
     return [...listed, ...extra];
   }
 
-  async function readStatuses(): Promise<EntryReading[]> {
+  async function readStatuses(): Promise<EntryStatusResult[]> {
     const addresses = await listEntries();
     return await Promise.all(
       addresses.map(async ({ entry, address }) => ({
@@ -93,7 +97,7 @@
   return { clock, log, entries, readStatuses, listEntries, close };
 }
 
-async function readListed(
+async function fetchListedEntries(
   instances: InstanceListClient,
 ): Promise<EntryAddress[]> {
   const snapshot = await instances.read(-1);
--- a/packages/endpoints/src/endpoint_protocol.ts
+++ b/packages/endpoints/src/endpoint_protocol.ts
@@ -1,10 +1,11 @@
 /**
- * What model engines, stage endpoints and plain services have in common on the
- * wire: the headers of a call, its echo, and refusals.
+ * The part of the wire protocol that model engines, stage endpoints and plain
+ * services share: request headers, the call identity echoed in results, and
+ * refusals.
  *
- * A refusal is status 503 or 429 with the body
- * `{"verdict":"not_run","reason":"leaving"|"overloaded"|"not_loaded"}`. Any other
- * answer leaves open whether the call ran.
+ * A refusal has status 503 or 429 and the body
+ * `{"verdict":"not_run","reason":"leaving"|"overloaded"|"not_loaded"}`. Any
+ * other response that is not a success leaves open whether the call ran.
  *
  * @module
  */
@@ -20,16 +21,18 @@
   stage: "x-stage",
   attempt: "x-attempt",
   causalTime: "x-causal-time",
-  /** Sent by an endpoint that is leaving: `x-endpoint-state: leaving`. */
+  /** Set by an endpoint that is shutting down: `x-endpoint-state: leaving`. */
   state: "x-endpoint-state",
-  /** Requests a second that an endpoint takes from all entries together. */
+  /** Requests per second that an endpoint accepts from all entries together. */
   rateLimit: "x-endpoint-limit",
 } as const;
 
-/** The value of the state header of an endpoint that takes no new work. */
+/**
+ * The value of the state header of an endpoint that accepts no new requests.
+ */
 export const LEAVING_STATE = "leaving";
 
-/** Which request, stage and attempt a call or a result belongs to. */
+/** The request, stage and attempt that a call or a result belongs to. */
 export interface CallIdentity {
   /** Client account and request id. */
   requestId: string;
@@ -57,13 +60,15 @@
 const TOO_MANY = 429;
 const UNAVAILABLE = 503;
 
-/** Whether a result belongs to the call; any other is dropped and counted. */
+/**
+ * Whether a result belongs to the call; other results are dropped and counted.
+ */
 export function isEchoOf(echo: CallEcho, call: CallIdentity): boolean {
   return echo.request_id === call.requestId && echo.stage === call.stage &&
     echo.attempt === call.attempt;
 }
 
-/** Formats the identity of a call for its body. */
+/** Formats the identity of a call for the request body. */
 export function formatEcho(call: CallIdentity): CallEcho {
   return {
     request_id: call.requestId,
@@ -72,29 +77,31 @@
   };
 }
 
-/** An answer in which an endpoint may speak of itself. */
+/** A response, whose headers may report the state or limit of its endpoint. */
 export interface AnsweredCall {
   endpoint: EndpointInfo;
   headers: HttpHeaders;
-  /** When the call was sent: its answer is no older. */
+  /** When the call was sent; the response is at least as recent. */
   sentAt: Millis;
 }
 
-/** Told of each answer of an endpoint. */
+/** Called for each response of an endpoint. */
 export type OnAnswer = (answered: AnsweredCall) => void;
 
-/** Whether the answer came from an endpoint that says it is leaving. */
+/** Whether the endpoint reports in the response that it is shutting down. */
 export function hasLeavingMark(headers: HttpHeaders): boolean {
   return headers[ENDPOINT_HEADERS.state] === LEAVING_STATE;
 }
 
-/** The limit that an answer names, in requests a second. */
+/** Reads the rate limit from a response, in requests per second. */
 export function readRateLimit(headers: HttpHeaders): number | undefined {
   const text = headers[ENDPOINT_HEADERS.rateLimit];
   return typeof text === "string" ? parseAmount(text) : undefined;
 }
 
-/** Turns an answer other than success into a failure with its verdict. */
+/**
+ * Creates the failure, with its verdict, of a response that is not a success.
+ */
 export function createReplyFailure(peer: string, reply: HttpReply): Failure {
   const isRefusal = reply.status === UNAVAILABLE || reply.status === TOO_MANY;
   const refusal = isRefusal
--- a/packages/endpoints/src/mod.ts
+++ b/packages/endpoints/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What all endpoints have in common on the wire.
+ * The part of the wire protocol that all kinds of endpoints share.
  *
  * @module
  */
--- a/packages/operators/src/config_diff.ts
+++ b/packages/operators/src/config_diff.ts
@@ -5,7 +5,7 @@
  */
 import type { ConfigDocument } from "./config_document.ts";
 
-/** One difference. */
+/** A field that differs. */
 export interface ConfigChange {
   /** Such as `classes.rulings.target`. */
   path: string;
@@ -13,7 +13,7 @@
   after: unknown;
 }
 
-/** Lists what would change; named list entries are matched by name. */
+/** Lists the differences; list items that have a name are matched by it. */
 export function compareConfigs(
   before: ConfigDocument | undefined,
   after: ConfigDocument,
@@ -41,7 +41,7 @@
   }
 }
 
-/** Fields of an object, or list items by their name; undefined for others. */
+/** Fields of an object, or list items by name; undefined for other values. */
 function listFields(value: unknown): Map<string, unknown> | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   if (!Array.isArray(value)) return new Map(Object.entries(value));
--- a/packages/operators/src/config_document.ts
+++ b/packages/operators/src/config_document.ts
@@ -1,6 +1,7 @@
 /**
- * What operators publish: classes with targets and priorities, pipelines,
- * services, client accounts and pools. No weights, endpoints or addresses.
+ * The configuration that operators publish: classes with targets and
+ * priorities, pipelines, services, client accounts, pools and models. It
+ * contains no weights, endpoints or addresses.
  *
  * @module
  */
@@ -75,10 +76,10 @@
   accounts: z.array(accountSchema).min(1),
 });
 
-/** A whole configuration. */
+/** A complete configuration. */
 export type ConfigDocument = z.infer<typeof documentShape>;
 
-/** A class of work. */
+/** A class of requests. */
 export type ClassConfig = ConfigDocument["classes"][number];
 
 /** A pipeline. */
@@ -93,10 +94,10 @@
 /** A pool of endpoints. */
 export type PoolConfig = ConfigDocument["pools"][number];
 
-/** A model that engines can hold. */
+/** A model that engines can load. */
 export type ModelConfig = ConfigDocument["models"][number];
 
-/** The schema, with the checks across its parts. */
+/** The schema, including the checks of references between its parts. */
 export const configDocumentSchema: z.ZodType<ConfigDocument> = documentShape
   .superRefine(checkReferences);
 
--- a/packages/operators/src/config_stream.ts
+++ b/packages/operators/src/config_stream.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration stream of the log: its records, and publishing with answers
- * that can be lost.
+ * The configuration stream of the log: its records, and a publish operation
+ * that tolerates lost append responses.
  *
  * @module
  */
@@ -38,7 +38,7 @@
   }),
 ]);
 
-/** A configuration in force, as peers hand it on. */
+/** A configuration in force, as entries send it to each other. */
 export const configInForceSchema = z.object({
   version: z.number().int().min(1),
   asOf: z.number().int(),
@@ -52,8 +52,8 @@
 export type ActiveConfig = ConfigInForce<ConfigDocument>;
 
 /**
- * Parses a record; undefined when malformed. A malformed record is passed over
- * by every reader in the same way, so readers still agree.
+ * Parses a record; undefined if it is malformed. Every reader skips the same
+ * malformed records, so all readers compute the same configuration.
  */
 export function parseConfigRecord(
   value: unknown,
@@ -62,30 +62,31 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-/** What became of a publish. */
+/** The outcome of a publish. */
 export type PublishOutcome =
   | { kind: "in_force"; version: number }
-  /** Another publish was first; nothing of this one is in force. */
+  /** Another publish came first; no part of this one is in force. */
   | { kind: "conflict"; inForce: ActiveConfig }
-  /** The log did not say in time; asking again with the same id is safe. */
+  /** The log did not confirm in time; retrying with the same id is safe. */
   | { kind: "unknown"; failure: Failure };
 
 /** Options of {@linkcode publishConfig}. */
 export interface PublishOptions {
   clock: Clock;
   log: LogClient;
-  /** Unique to this publish; the same when it is tried again. */
+  /** Unique to this publish; a retry uses the same id. */
   publishId: string;
   author: string;
   basedOn: number;
   config: ConfigDocument;
-  /** How long to look for a record whose append answer was lost. */
+  /** How long to look for a record whose append response was lost. */
   timeoutMs: Millis;
 }
 
 /**
- * Publishes a configuration once. An append whose answer is lost is looked for
- * in the log by its publish id before anything is appended again.
+ * Publishes a configuration so that it takes effect at most once per publish id.
+ * The log is searched for the id before the record is appended, and read
+ * afterwards until the outcome is found, even if the append response was lost.
  */
 export async function publishConfig(
   options: PublishOptions,
@@ -100,44 +101,44 @@
   };
   const before = await readConfigState(log);
   if (before.isOk) {
-    const known = judgePublish(before.value, publishId);
-    if (known !== undefined) return known;
+    const existing = findOutcome(before.value, publishId);
+    if (existing !== undefined) return existing;
   }
   const ack = await log.append("config", record);
   if (ack.isErr && ack.error.verdict === "not_run") {
     return { kind: "unknown", failure: ack.error };
   }
   const giveUpAt = clock.now() + timeoutMs;
-  let failure = ack.isErr ? ack.error : failUnread();
+  let failure = ack.isErr ? ack.error : createUnconfirmedFailure();
   while (clock.now() < giveUpAt) {
     const state = await readConfigState(log);
     const outcome = state.isOk
-      ? judgePublish(state.value, publishId)
+      ? findOutcome(state.value, publishId)
       : undefined;
     if (outcome !== undefined) return outcome;
     if (state.isErr) failure = state.error;
-    await clock.sleep(READ_PAUSE);
+    await clock.sleep(READ_INTERVAL);
   }
   return { kind: "unknown", failure };
 }
 
-const READ_PAUSE: Millis = 100;
+const READ_INTERVAL: Millis = 100;
 
-/** What the log says about the configuration. */
+/** The state of the configuration according to the log. */
 export interface ConfigState {
   fold: ConfigFold<ConfigDocument>;
-  /** What became of each publish that was read, by publish id. */
+  /** The outcome of each publish that was read, by publish id. */
   outcomes: Map<string, PublishOutcome>;
 }
 
-function judgePublish(
+function findOutcome(
   { outcomes }: ConfigState,
   publishId: string,
 ): PublishOutcome | undefined {
   return outcomes.get(publishId);
 }
 
-/** Reads and folds the whole configuration stream. */
+/** Reads and folds the complete configuration stream. */
 export async function readConfigState(
   log: LogClient,
 ): Promise<Result<ConfigState, Failure>> {
@@ -175,7 +176,7 @@
   }
 }
 
-function failUnread(): Failure {
+function createUnconfirmedFailure(): Failure {
   return createFailure("unavailable", {
     verdict: "may_have_run",
     message: "the record was appended but could not be read back in time",
--- a/packages/operators/src/config_stream_test.ts
+++ b/packages/operators/src/config_stream_test.ts
@@ -51,7 +51,7 @@
     });
   }
 
-  it("is in force under the next version", async () => {
+  it("puts each publish in force under the next version", async () => {
     expect(await publish("a", 0)).to.deep.equal({
       kind: "in_force",
       version: 1,
@@ -62,7 +62,7 @@
     });
   });
 
-  it("decides between operators that publish at once, and tells the loser", async () => {
+  it("accepts one of two concurrent publishes and reports a conflict for the other", async () => {
     const [a, b] = await Promise.all([publish("a", 0), publish("b", 0)]);
     const kinds = [a.kind, b.kind].sort();
     expect(kinds).to.deep.equal(["conflict", "in_force"]);
@@ -70,9 +70,9 @@
     expect(loser.kind === "conflict" && loser.inForce.version).to.equal(1);
   });
 
-  // The append takes effect and its answer is lost. Looking in the log by the
-  // publish id finds it, so it is not published twice.
-  it("finds a publish whose append answer was lost", async () => {
+  // The append takes effect but its response is lost. The publish id is found
+  // in the log, so the configuration is not published twice.
+  it("finds a publish whose append response was lost", async () => {
     standin.faults.loseAnswers = 1;
     expect(await publish("a", 0)).to.deep.equal({
       kind: "in_force",
@@ -82,7 +82,7 @@
     expect(state.isOk && state.value.fold.asOf).to.equal(0);
   });
 
-  it("does not publish twice when it is tried again under the same id", async () => {
+  it("does not publish twice when retried under the same id", async () => {
     await publish("a", 0);
     expect(await publish("a", 0)).to.deep.equal({
       kind: "in_force",
@@ -92,12 +92,12 @@
       .to.deep.include({ value: 0 });
   });
 
-  it("says that it does not know while the log is away", async () => {
+  it("reports the outcome as unknown while the log is unavailable", async () => {
     standin.faults.away = true;
     expect((await publish("a", 0)).kind).to.equal("unknown");
   });
 
-  it("passes over records that are no configuration", async () => {
+  it("skips records that are not a configuration", async () => {
     await log.append("config", { kind: "publish", config: "what" });
     expect(await publish("a", 0)).to.deep.equal({
       kind: "in_force",
@@ -138,7 +138,7 @@
     });
   }
 
-  it("is compared by names, so that order does not show as a change", () => {
+  it("is compared by names, so that a different order is not a change", () => {
     const after = structuredClone(CONFIG);
     after.classes[0]!.target = 0.95;
     expect(compareConfigs(CONFIG, after)).to.deep.equal([
--- a/packages/operators/src/mod.ts
+++ b/packages/operators/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What operators publish and read.
+ * Configuration that operators publish, and the operator API of entries.
  *
  * @module
  */
--- a/packages/operators/src/operator_api.ts
+++ b/packages/operators/src/operator_api.ts
@@ -1,5 +1,5 @@
 /**
- * What operators read from entries, over the control port.
+ * Client of the operator API on the control port of entries.
  *
  * @module
  */
@@ -51,12 +51,12 @@
   pools: NamedPoolStatus[];
 }
 
-/** The state of a pool as one entry sees it. */
+/** The state of a pool as seen by one entry. */
 export interface NamedPoolStatus extends PoolStatus {
   pool: string;
-  /** Seconds that endpoints spent on requests answered in time. */
+  /** Seconds that endpoints spent on requests that were answered in time. */
   usefulSeconds: number;
-  /** Seconds that endpoints spent on anything else. */
+  /** Seconds that endpoints spent on all other requests. */
   wastedSeconds: number;
 }
 
@@ -67,7 +67,7 @@
   timeoutMs: Millis;
 }
 
-/** Reads from and drains entries. */
+/** Reads the status and timeline of entries and drains them. */
 export interface OperatorClient {
   readStatus(address: string): Promise<Result<EntryStatus, Failure>>;
   readTimeline(address: string): Promise<Result<TimelineEvent[], Failure>>;
@@ -77,7 +77,7 @@
 
 const OK = 200;
 
-/** Creates the handle. */
+/** Creates the client. */
 export function createOperatorClient(
   { clock, operatorKey, timeoutMs }: OperatorClientOptions,
 ): OperatorClient {
--- a/packages/operators/src/operator_settings.ts
+++ b/packages/operators/src/operator_settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of the operators' programs.
+ * Settings of the operators' command-line tools.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const MIN_KEY_LENGTH = 16;
 const remoteSchema = z.string().regex(IP_AND_PORT, "an ip:port");
 
-/** The schema of the operators' settings. */
+/** Schema of the settings of the operators' command-line tools. */
 export const operatorSettingsSchema = z.strictObject({
   logAddress: remoteSchema.describe("The platform's log service"),
   instanceListAddress: remoteSchema.describe("The platform's instance list"),
@@ -19,5 +19,5 @@
     .describe("Control addresses, for when the instance list is away"),
 });
 
-/** The settings of the operators' programs. */
+/** Settings of the operators' command-line tools. */
 export type OperatorSettings = z.infer<typeof operatorSettingsSchema>;
--- a/packages/timeline/src/main.ts
+++ b/packages/timeline/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The program `mangoreach-timeline`.
+ * The command-line tool `mangoreach-timeline`.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import type { SiteAccess } from "@mangoreach/ctl";
 import { createSiteAccess } from "@mangoreach/ctl";
 import type { EventFilter } from "./merge.ts";
-import { formatEvent, isWanted, mergeTimelines } from "./merge.ts";
+import { formatEvent, matchesFilter, mergeTimelines } from "./merge.ts";
 
 const VERSION = "0.1.0";
 const USAGE = `Usage: mangoreach-timeline --settings FILE [OPTIONS]
@@ -39,11 +39,11 @@
 
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
-const FOLLOW_PAUSE_MS = 1_000;
+const FOLLOW_INTERVAL_MS = 1_000;
 const RED = "\u001b[31m";
 const YELLOW = "\u001b[33m";
 const RESET = "\u001b[0m";
-const BAD_KINDS: readonly EventKind[] = [
+const ERROR_KINDS: readonly EventKind[] = [
   "stage_failed",
   "stage_result_dropped",
   "config_rejected",
@@ -51,7 +51,7 @@
   "lease_lost",
   "claim_lost",
 ];
-const NOTABLE_KINDS: readonly EventKind[] = [
+const WARNING_KINDS: readonly EventKind[] = [
   "request_refused",
   "request_cancelled",
   "endpoint_ejected",
@@ -81,8 +81,8 @@
 
 function formatKind(kind: EventKind, text: string): string {
   if (!process.stdout.isTTY) return text;
-  if (BAD_KINDS.includes(kind)) return `${RED}${text}${RESET}`;
-  return NOTABLE_KINDS.includes(kind) ? `${YELLOW}${text}${RESET}` : text;
+  if (ERROR_KINDS.includes(kind)) return `${RED}${text}${RESET}`;
+  return WARNING_KINDS.includes(kind) ? `${YELLOW}${text}${RESET}` : text;
 }
 
 async function readEvents(site: SiteAccess): Promise<TimelineEvent[]> {
@@ -114,15 +114,15 @@
   const printed = new Set<string>();
   do {
     const events = (await readEvents(site)).filter((event) =>
-      isWanted(event, filter) && !printed.has(formatIdentity(event))
+      matchesFilter(event, filter) && !printed.has(formatEventId(event))
     );
-    for (const event of events) printed.add(formatIdentity(event));
+    for (const event of events) printed.add(formatEventId(event));
     printEvents(events, options);
-    if (options.follow) await site.clock.sleep(FOLLOW_PAUSE_MS);
+    if (options.follow) await site.clock.sleep(FOLLOW_INTERVAL_MS);
   } while (options.follow);
 }
 
-function formatIdentity({ process, time }: TimelineEvent): string {
+function formatEventId({ process, time }: TimelineEvent): string {
   return `${process} ${formatCausalTime(time)}`;
 }
 
--- a/packages/timeline/src/merge.ts
+++ b/packages/timeline/src/merge.ts
@@ -1,12 +1,12 @@
 /**
- * Merges the time lines of several processes into one in causal order.
+ * Merges the timelines of several processes into one in causal order.
  *
  * @module
  */
 import type { EventKind, TimelineEvent } from "@mangoreach/shared";
 import { compareCausalTimes } from "@mangoreach/shared";
 
-/** Which events are wanted; absent fields match everything. */
+/** Fields that an event must match; absent fields match every event. */
 export interface EventFilter {
   request?: string | undefined;
   endpoint?: string | undefined;
@@ -14,7 +14,7 @@
   kind?: string | undefined;
 }
 
-/** Merges time lines; events of one process keep their order. */
+/** Merges timelines; events of one process keep their order. */
 export function mergeTimelines(
   timelines: readonly (readonly TimelineEvent[])[],
 ): TimelineEvent[] {
@@ -23,8 +23,11 @@
   );
 }
 
-/** Whether an event is wanted. */
-export function isWanted(event: TimelineEvent, filter: EventFilter): boolean {
+/** Whether an event matches the filter. */
+export function matchesFilter(
+  event: TimelineEvent,
+  filter: EventFilter,
+): boolean {
   return matches(event.request, filter.request) &&
     matches(event.endpoint, filter.endpoint) &&
     matches(event.process, filter.process) &&
@@ -38,18 +41,20 @@
 const KIND_WIDTH = 21;
 const PROCESS_WIDTH = 10;
 
-/** How lines are painted; `(text) => text` for no colours. */
-export type Paint = (kind: EventKind, text: string) => string;
+/**
+ * Adds the terminal colour of an event kind to a text, or returns it as it is.
+ */
+export type Colorize = (kind: EventKind, text: string) => string;
 
 /** Formats an event as an aligned line. */
-export function formatEvent(event: TimelineEvent, paint: Paint): string {
+export function formatEvent(event: TimelineEvent, colorize: Colorize): string {
   const { time, process, kind } = event;
   const at = new Date(time.millis).toISOString().slice(11, 23);
   const counter = time.counter === 0 ? "" : `+${time.counter}`;
-  const about = [event.request, event.stage, event.endpoint, event.detail]
+  const details = [event.request, event.stage, event.endpoint, event.detail]
     .filter((part) => part !== undefined).join(" ");
-  const name = paint(kind, kind.padEnd(KIND_WIDTH));
+  const name = colorize(kind, kind.padEnd(KIND_WIDTH));
   return `${at}${counter.padEnd(4)} ${
     process.padEnd(PROCESS_WIDTH)
-  } ${name} ${about}`;
+  } ${name} ${details}`;
 }
--- a/packages/timeline/src/mod.ts
+++ b/packages/timeline/src/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The merge of time lines, for tests.
+ * Merging, filtering and formatting of timelines.
  *
  * @module
  */
-export type { EventFilter, Paint } from "./merge.ts";
-export { formatEvent, isWanted, mergeTimelines } from "./merge.ts";
+export type { Colorize, EventFilter } from "./merge.ts";
+export { formatEvent, matchesFilter, mergeTimelines } from "./merge.ts";
