--- a/packages/callers/src/caller_client.ts
+++ b/packages/callers/src/caller_client.ts
@@ -15,17 +15,17 @@
 import { Result } from "true-myth";
 import { createAddressBook } from "./address_book.ts";
 import type {
+  BufferedAnswer,
   Credentials,
   EntryAddress,
   PipelineBody,
-  WholeAnswer,
 } from "./caller_protocol.ts";
 import {
+  bufferedAnswerSchema,
   CALLER_HEADERS,
   CALLER_PATHS,
   formatCredentials,
   parseFailure,
-  wholeAnswerSchema,
 } from "./caller_protocol.ts";
 import {
   createUnreachableFailure,
@@ -99,7 +99,9 @@
    * if no entry is known.
    */
   createRequestId(): Promise<string | undefined>;
-  runPipeline(request: PipelineRequest): Promise<Result<WholeAnswer, Failure>>;
+  runPipeline(
+    request: PipelineRequest,
+  ): Promise<Result<BufferedAnswer, Failure>>;
   streamPipeline(
     request: PipelineRequest,
     onToken: (token: string, sequence: number) => void,
@@ -297,7 +299,7 @@
 
   async function runPipeline(
     request: PipelineRequest,
-  ): Promise<Result<WholeAnswer, Failure>> {
+  ): Promise<Result<BufferedAnswer, Failure>> {
     const submission: Submission = {
       path: CALLER_PATHS.pipelines + encodeURIComponent(request.pipeline),
       body: JSON.stringify(request.body),
@@ -305,7 +307,7 @@
       accept: "application/json",
     };
     const answer = await callBuffered(submission, (_status, body, id) => {
-      const parsed = wholeAnswerSchema.safeParse(body);
+      const parsed = bufferedAnswerSchema.safeParse(body);
       return parsed.success && parsed.data.request_id === id
         ? parsed.data
         : undefined;
--- a/packages/callers/src/mod.ts
+++ b/packages/callers/src/mod.ts
@@ -5,15 +5,16 @@
  */
 export type {
   AddressAnswer,
+  BufferedAnswer,
   CallerEventName,
   Credentials,
   EntryAddress,
   FailureBody,
   PipelineBody,
-  WholeAnswer,
 } from "./caller_protocol.ts";
 export {
   addressAnswerSchema,
+  bufferedAnswerSchema,
   CALLER_HEADERS,
   CALLER_PATHS,
   FAILURE_STATUS,
@@ -22,7 +23,6 @@
   parseCredentials,
   parseFailure,
   pipelineBodySchema,
-  wholeAnswerSchema,
 } from "./caller_protocol.ts";
 export type {
   CallerClient,
