--- a/packages/callers/src/mod.ts
+++ b/packages/callers/src/mod.ts
@@ -1,19 +1,20 @@
 /**
- * The protocol towards callers and the client that a caller embeds.
+ * The caller protocol and the client library for callers.
  *
  * @module
  */
 export type {
   AddressAnswer,
+  BufferedAnswer,
   CallerEventName,
   Credentials,
   EntryAddress,
   FailureBody,
   PipelineBody,
-  WholeAnswer,
 } from "./caller_protocol.ts";
 export {
   addressAnswerSchema,
+  bufferedAnswerSchema,
   CALLER_HEADERS,
   CALLER_PATHS,
   FAILURE_STATUS,
@@ -22,7 +23,6 @@
   parseCredentials,
   parseFailure,
   pipelineBodySchema,
-  wholeAnswerSchema,
 } from "./caller_protocol.ts";
 export type {
   CallerClient,
