--- a/packages/entry/src/caller_listener.ts
+++ b/packages/entry/src/caller_listener.ts
@@ -60,7 +60,10 @@
   const { clock, settings, random } = context;
   const logger = context.logger.forPart("callers");
 
-  function listen(request: IncomingMessage, response: ServerResponse): void {
+  function handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const exchange = { request, response };
     tasks.add(
       route(exchange).catch((error) => {
@@ -81,9 +84,7 @@
     }
     const { path, query } = url;
     if (path === CALLER_PATHS.addresses) {
-      return checkMethod(exchange, "GET")
-        ? answerAddresses(exchange)
-        : undefined;
+      return checkMethod(exchange, "GET") ? sendAddresses(exchange) : undefined;
     }
     if (path.startsWith(CALLER_PATHS.pipelines)) {
       if (!checkMethod(exchange, "POST")) return;
@@ -115,7 +116,7 @@
     return false;
   }
 
-  function answerAddresses(exchange: Exchange): void {
+  function sendAddresses(exchange: Exchange): void {
     const { request, response } = exchange;
     const given = parseCredentials(request.headers.authorization);
     if (given === undefined || !credentials.isAccount(given)) {
@@ -159,7 +160,7 @@
     });
   }
 
-  return listen;
+  return handleRequest;
 }
 
 interface ParsedPath {
--- a/packages/entry/src/claim_service.ts
+++ b/packages/entry/src/claim_service.ts
@@ -42,8 +42,8 @@
 const claimRecordSchema = z.object({ claims: z.array(claimSchema) });
 
 /** How long claims wait for company. */
-const BATCH_DELAY: Millis = 10;
-const MAX_BATCH = 500;
+const BATCH_WINDOW: Millis = 10;
+const MAX_BATCH_SIZE = 500;
 
 /** Starts to follow the claims of all entries. */
 export function startClaimService(
@@ -58,7 +58,7 @@
   });
   let batch: Claim[] = [];
 
-  function takeEvent(event: TailEvent): void {
+  function handleEvent(event: TailEvent): void {
     if (event.kind !== "record") return;
     const record = claimRecordSchema.safeParse(event.record.value);
     if (!record.success) {
@@ -87,8 +87,8 @@
 
   function addToBatch(mine: Claim): void {
     batch.push(mine);
-    if (batch.length === 1) clock.startTimer(BATCH_DELAY, sendBatch);
-    if (batch.length >= MAX_BATCH) sendBatch();
+    if (batch.length === 1) clock.startTimer(BATCH_WINDOW, sendBatch);
+    if (batch.length >= MAX_BATCH_SIZE) sendBatch();
   }
 
   function sendBatch(): void {
@@ -112,6 +112,6 @@
     signal,
     random,
   });
-  const following = tail.events.observe(takeEvent).then(() => undefined);
+  const following = tail.events.observe(handleEvent).then(() => undefined);
   return { table, claim, tasks: [tail.task, following] };
 }
--- a/packages/entry/src/config_follower.ts
+++ b/packages/entry/src/config_follower.ts
@@ -50,7 +50,7 @@
   /** When the record that holds the version in force was last written. */
   let writtenAt: Millis = clock.now();
 
-  function noteOutcome(outcome: FoldOutcome, author: string): void {
+  function handleOutcome(outcome: FoldOutcome, author: string): void {
     const { inForce } = fold;
     if (outcome === "rejected") {
       timeline.record("config_rejected", { detail: author });
@@ -64,29 +64,29 @@
     onChange(site);
   }
 
-  function takeRecord({ offset, time, value }: LogRecord): void {
+  function applyRecord({ offset, time, value }: LogRecord): void {
     const record = parseConfigRecord(value);
     if (record === undefined) {
       logger.warn("Passed over a malformed record.", { offset });
       return;
     }
-    noteOutcome(fold.apply(record, { offset }), record.author);
+    handleOutcome(fold.apply(record, { offset }), record.author);
     if (record.publishId === fold.inForce?.publishId) writtenAt = time;
   }
 
-  function takeEvent(event: TailEvent): void {
+  function handleEvent(event: TailEvent): void {
     const wasReachable = isLogReachable;
     isLogReachable = event.kind !== "away";
     metrics.setLogReachable(isLogReachable);
     if (event.kind === "trimmed") fold.startAt(event.first);
-    if (event.kind === "record") takeRecord(event.record);
+    if (event.kind === "record") applyRecord(event.record);
     if (wasReachable !== isLogReachable) {
       logger.info(isLogReachable ? "The log is back." : "The log is away.");
     }
   }
 
   function adopt(config: ActiveConfig): void {
-    noteOutcome(fold.adopt(config), config.author);
+    handleOutcome(fold.adopt(config), config.author);
   }
 
   const tail = startLogTail({
@@ -97,8 +97,8 @@
     signal,
     random,
   });
-  const following = tail.events.observe(takeEvent);
-  const carrying = carryForward(context, {
+  const following = tail.events.observe(handleEvent);
+  const republishing = republishPeriodically(context, {
     log,
     fold,
     readWrittenAt: () => writtenAt,
@@ -115,11 +115,11 @@
       return isLogReachable;
     },
     adopt,
-    tasks: [tail.task, following.then(() => undefined), carrying],
+    tasks: [tail.task, following.then(() => undefined), republishing],
   };
 }
 
-interface CarryForwardOptions {
+interface RepublishOptions {
   log: LogClient;
   fold: ConfigFold<ConfigDocument>;
   readWrittenAt: () => Millis;
@@ -133,9 +133,9 @@
  * random time first and looks again, so that about one of them writes; a copy
  * that comes late or twice is ignored by every reader's fold.
  */
-async function carryForward(
+async function republishPeriodically(
   { clock, settings, random, signal, incarnation, logger }: EntryContext,
-  { log, fold, readWrittenAt }: CarryForwardOptions,
+  { log, fold, readWrittenAt }: RepublishOptions,
 ): Promise<void> {
   const interval = settings.timing.carryForwardMs;
   while (!signal.aborted) {
--- a/packages/entry/src/control_listener.ts
+++ b/packages/entry/src/control_listener.ts
@@ -18,7 +18,7 @@
 /** Options of {@linkcode createControlListener}. */
 export interface ControlListenerOptions {
   credentials: CredentialsCheck;
-  listenPeers: RequestListener;
+  handlePeerRequest: RequestListener;
   readStatus: () => EntryStatus;
   isReady: () => boolean;
   /** Begins a graceful shutdown. */
@@ -28,14 +28,17 @@
 /** Creates the listener of the control port. */
 export function createControlListener(
   context: EntryContext,
-  { credentials, listenPeers, readStatus, isReady, drain }:
+  { credentials, handlePeerRequest, readStatus, isReady, drain }:
     ControlListenerOptions,
 ): RequestListener {
   const { metrics, timeline } = context;
 
-  function listen(request: IncomingMessage, response: ServerResponse): void {
+  function handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const path = request.url?.split("?")[0] ?? "";
-    if (path.startsWith(PEER_PATH)) return listenPeers(request, response);
+    if (path.startsWith(PEER_PATH)) return handlePeerRequest(request, response);
     if (path === OPERATOR_PATHS.health) {
       return sendJson(response, { status: 200, body: { ok: true } });
     }
@@ -50,7 +53,7 @@
     if (!credentials.isOperator(request)) {
       return sendJson(response, { status: 401, body: { error: "no access" } });
     }
-    answerOperator(path, { request, response });
+    handleOperatorRequest(path, { request, response });
   }
 
   async function sendMetrics(response: ServerResponse): Promise<void> {
@@ -59,7 +62,7 @@
     response.end(text);
   }
 
-  function answerOperator(
+  function handleOperatorRequest(
     path: string,
     { request, response }: {
       request: IncomingMessage;
@@ -79,5 +82,5 @@
     sendJson(response, { status: 404, body: { error: "nothing here" } });
   }
 
-  return listen;
+  return handleRequest;
 }
--- a/packages/entry/src/endpoint_watch.ts
+++ b/packages/entry/src/endpoint_watch.ts
@@ -30,7 +30,7 @@
   /** Whether a pool is one of model engines. */
   isEnginePool: (pool: string) => boolean;
   /** Whether an engine has asked to be sent less, and is left alone. */
-  isHeldBack: (endpoint: EndpointInfo) => boolean;
+  isThrottled: (endpoint: EndpointInfo) => boolean;
   /** Told the control addresses of entries in the list. */
   onEntries: (entries: readonly EndpointInfo[]) => void;
 }
@@ -38,20 +38,20 @@
 /** A running watch. */
 export interface EndpointWatch {
   /** Marks an endpoint that said itself, or to a peer, that it is leaving. */
-  markLeaving(endpointKey: string, ground: LeavingGround): void;
+  markLeaving(endpointKey: string, evidence: LeavingGround): void;
   /** Whether an engine holds a model, or nothing is known of it yet. */
-  holdsModel(endpoint: EndpointInfo, model: string): boolean;
+  hasModel(endpoint: EndpointInfo, model: string): boolean;
   readonly tasks: Promise<void>[];
 }
 
 /** Pools are refreshed this often, so that expired marks heal. */
 const REFRESH_INTERVAL: Millis = 250;
 /** What engines hold is read with every so many load reports. */
-const STATE_EVERY = 3;
+const LOADS_PER_STATE_READ = 3;
 /** Cache events are read with every so many load reports. */
-const EVENTS_EVERY = 4;
+const LOADS_PER_EVENT_READ = 4;
 /** Load reports read a second at most, however many engines there are. */
-const MAX_READINGS_PER_SECOND = 4;
+const MAX_LOAD_READS_PER_SECOND = 4;
 
 /** Starts to watch the endpoints. */
 export function startEndpointWatch(
@@ -62,22 +62,22 @@
   const { directory, pools, instanceList } = options;
   const logger = context.logger.forPart("endpoints");
   /** Models that an engine held when it was last asked. */
-  const holdings = new Map<string, ReadonlySet<string>>();
+  const loadedModels = new Map<string, ReadonlySet<string>>();
   const watched = new Map<string, AbortController>();
   const tasks = createTaskSet((error) =>
     logger.error("Reading load failed.", { error: String(error) })
   );
-  let isListAway = false;
+  let isListDown = false;
 
-  function takeList(instances: readonly EndpointInfo[]): void {
-    isListAway = false;
+  function applyList(instances: readonly EndpointInfo[]): void {
+    isListDown = false;
     directory.replaceAll(instances.filter(({ pool }) => pool !== ENTRY_POOL));
     options.onEntries(instances.filter(({ pool }) => pool === ENTRY_POOL));
     pools.refresh();
   }
 
-  function markLeaving(endpointKey: string, ground: LeavingGround): void {
-    if (!directory.markLeaving(endpointKey, ground)) return;
+  function markLeaving(endpointKey: string, evidence: LeavingGround): void {
+    if (!directory.markLeaving(endpointKey, evidence)) return;
     timeline.record("endpoint_leaving", { endpoint: endpointKey });
     pools.refresh();
   }
@@ -91,7 +91,7 @@
       if (keys.has(key)) continue;
       controller.abort();
       watched.delete(key);
-      holdings.delete(key);
+      loadedModels.delete(key);
     }
     for (const engine of engines) {
       const key = formatEndpointKey(engine);
@@ -109,17 +109,17 @@
     const key = formatEndpointKey(engine);
     const ended = AbortSignal.any([signal, stopped]);
     let lastEvent = -1;
-    let reading = 0;
+    let reads = 0;
     while (!ended.aborted) {
       await clock.sleep(computeInterval() * (0.75 + random() / 2), ended);
       if (ended.aborted) return;
-      if (options.isHeldBack(engine)) continue;
+      if (options.isThrottled(engine)) continue;
       const report = await options.engines.readLoad(engine);
       if (report.isOk) {
         pools.recordReport(engine, report.value);
       }
-      if (reading++ % STATE_EVERY === 0) await readHoldings(engine);
-      if (reading % EVENTS_EVERY !== 0) continue;
+      if (reads++ % LOADS_PER_STATE_READ === 0) await readModels(engine);
+      if (reads % LOADS_PER_EVENT_READ !== 0) continue;
       const events = await options.engines.readCacheEvents(engine, lastEvent);
       if (events.isErr) continue;
       options.affinity.applyEvents(key, events.value);
@@ -127,20 +127,20 @@
     }
   }
 
-  async function readHoldings(engine: EndpointInfo): Promise<void> {
+  async function readModels(engine: EndpointInfo): Promise<void> {
     const state = await options.orders.readState(engine);
     if (state.isErr) return;
     const names = state.value.models.map(({ name }) => name);
-    holdings.set(formatEndpointKey(engine), new Set(names));
+    loadedModels.set(formatEndpointKey(engine), new Set(names));
   }
 
-  function holdsModel(endpoint: EndpointInfo, model: string): boolean {
-    return holdings.get(formatEndpointKey(endpoint))?.has(model) ?? true;
+  function hasModel(endpoint: EndpointInfo, model: string): boolean {
+    return loadedModels.get(formatEndpointKey(endpoint))?.has(model) ?? true;
   }
 
   /** Grows with the engines, so that the cost of reading does not. */
   function computeInterval(): Millis {
-    const bounded = watched.size * 1_000 / MAX_READINGS_PER_SECOND;
+    const bounded = watched.size * 1_000 / MAX_LOAD_READS_PER_SECOND;
     return Math.max(settings.timing.loadReportMs, bounded);
   }
 
@@ -159,10 +159,10 @@
     signal,
     random,
     onAway: ({ message }) => {
-      if (!isListAway) logger.warn("The instance list is away.", { message });
-      isListAway = true;
+      if (!isListDown) logger.warn("Instance list unavailable.", { message });
+      isListDown = true;
     },
-  }).observe(({ instances }) => takeList(instances)).then(() => undefined);
+  }).observe(({ instances }) => applyList(instances)).then(() => undefined);
 
-  return { markLeaving, holdsModel, tasks: [following, refreshPools()] };
+  return { markLeaving, hasModel, tasks: [following, refreshPools()] };
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -44,9 +44,9 @@
 import type { EntryContext } from "./entry_context.ts";
 import { createEntryMetrics } from "./entry_metrics.ts";
 import type { EntrySettings } from "./entry_settings.ts";
-import { startLeaseKeeper } from "./lease_keeper.ts";
-import { createOnceGuard } from "./once_guard.ts";
-import { keepOrders } from "./order_keeper.ts";
+import { startLeaseManager } from "./lease_manager.ts";
+import { createAtMostOnceGuard } from "./once_guard.ts";
+import { runPlacementController } from "./placement_controller.ts";
 import { startPeerExchange } from "./peer_exchange.ts";
 import { createPipelineRunner } from "./pipeline_runner.ts";
 import { createPoolSet } from "./pool_set.ts";
@@ -91,8 +91,8 @@
 /** Starts an entry; resolves once it listens on both ports. */
 export async function startEntry(options: EntryOptions): Promise<Entry> {
   const { settings, clock, random } = options;
-  const ending = new AbortController();
-  const context = createContext(options, ending.signal);
+  const shutdown = new AbortController();
+  const context = createContext(options, shutdown.signal);
   const { incarnation, logger, metrics, timeline } = context;
   const entryLogger = logger.forPart("entry");
   let phase: "serving" | "leaving" | "stopping" = "serving";
@@ -101,13 +101,13 @@
     clock,
     markLifetime: settings.timing.leavingMarkMs,
   });
-  const isLearning = createLearningCheck(clock);
+  const isDiscovering = createLearningCheck(clock);
   const { allowance, limits, pauses } = createEntryAllowance({
     clock,
     random,
     entry: settings.entry,
     listMembers: () =>
-      isLearning() ? undefined : listSendingMembers(membership),
+      isDiscovering() ? undefined : listSendingMembers(membership),
     directory,
     isFed: () => false,
   });
@@ -115,7 +115,7 @@
   const pools = createPoolSet(context, {
     directory,
     attainment,
-    holdsModel: (endpoint, model) => watch.holdsModel(endpoint, model),
+    hasModel: (endpoint, model) => watch.hasModel(endpoint, model),
     allowance,
     onPause: (endpoint, pause) =>
       pauses.note(formatEndpointKey(endpoint), pause),
@@ -146,8 +146,8 @@
   const policy = createSecondAttemptPolicy(settings.policy, {
     budget: createRetryBudget(RETRY_BUDGET),
   });
-  const isOwnPolicy = settings.policy === "mangoreach";
-  const admission = isOwnPolicy
+  const isMangoreachPolicy = settings.policy === "mangoreach";
+  const admission = isMangoreachPolicy
     ? createAdmission({
       clock,
       random,
@@ -164,10 +164,10 @@
     clock,
     capacity: settings.limits.maxRemembered,
   });
-  const guard = createOnceGuard(context, {
+  const guard = createAtMostOnceGuard(context, {
     outcomes,
     claims,
-    askOwner: (owner, question) => exchange.askOwner(owner, question),
+    queryOwner: (owner, query) => exchange.queryOwner(owner, query),
   });
   const pipelines = createPipelineRunner(context, {
     pools,
@@ -176,7 +176,7 @@
     affinity,
     policy,
     demand,
-    dropsHopeless: isOwnPolicy,
+    dropsInfeasible: isMangoreachPolicy,
   });
   const services = createServiceRunner(context, {
     pools,
@@ -204,10 +204,10 @@
     requestTimeoutMs: settings.limits.requestTimeoutMs,
   };
   // Callers with an old address may come before the parts below are wired.
-  let listenCallers = refuseEarly;
-  let listenControl = refuseEarly;
+  let handleCallerRequest = refuseWhileStarting;
+  let handleControlRequest = refuseWhileStarting;
   const callerServer = await startServer(
-    (request, response) => listenCallers(request, response),
+    (request, response) => handleCallerRequest(request, response),
     {
       address: settings.callerAddress,
       limits: {
@@ -217,7 +217,7 @@
     },
   );
   const controlServer = await startServer(
-    (request, response) => listenControl(request, response),
+    (request, response) => handleControlRequest(request, response),
     {
       address: settings.controlAddress,
       limits: { ...serverLimits, maxConnections: CONTROL_CONNECTIONS },
@@ -227,7 +227,7 @@
     callerServer,
     controlServer,
   });
-  listenCallers = createCallerListener(context, {
+  handleCallerRequest = createCallerListener(context, {
     credentials,
     membership,
     requests,
@@ -246,7 +246,7 @@
     pools,
     affinity,
     isEnginePool: (pool) => config.site?.findPool(pool)?.kind === "engine",
-    isHeldBack: allowance.isHeldBack,
+    isThrottled: allowance.isHeldBack,
     onEntries: (entries) => exchange.addSeeds(entries),
   });
   const exchange = startPeerExchange(context, {
@@ -254,16 +254,16 @@
     directory,
     peers,
     config,
-    markLeaving: ({ endpointKey, ...ground }) =>
-      watch.markLeaving(endpointKey, ground),
+    markLeaving: ({ endpointKey, ...evidence }) =>
+      watch.markLeaving(endpointKey, evidence),
     limits,
     countInFlight: () => requestTasks.size,
-    readStrained: () => admission?.strainedPriority ?? 0,
-    onStrain: (priority) => admission?.relieve(priority),
+    readStrainedPriority: () => admission?.strainedPriority ?? 0,
+    onStrainedPriority: (priority) => admission?.relieve(priority),
   });
-  listenControl = createControlListener(context, {
+  handleControlRequest = createControlListener(context, {
     credentials,
-    listenPeers: createPeerListener({
+    handlePeerRequest: createPeerListener({
       handlers: {
         exchange: exchange.answer,
         readConfig: () => config.active ?? null,
@@ -276,8 +276,8 @@
     drain: options.onDrain,
   });
   if (settings.placesModels) {
-    void keepOrders(context, {
-      leases: startLeaseKeeper(context, log),
+    void runPlacementController(context, {
+      leases: startLeaseManager(context, log),
       orders,
       weights,
       directory,
@@ -324,30 +324,30 @@
     timeline.record("process_stopping");
     entryLogger.info("Leaving: not named to callers any more.");
     membership.beat({ state: "leaving" });
-    await exchange.tellPeers();
+    await exchange.notifyPeers();
     // Callers keep an old address answer for a while; they are still served.
-    await clock.sleep(settings.timing.drainMs, ending.signal);
+    await clock.sleep(settings.timing.drainMs, shutdown.signal);
     phase = "stopping";
     await waitForRequests();
-    const cut = requestTasks.size;
-    timeline.record("process_stopped", { detail: `${cut} cut off` });
+    const cutOffCount = requestTasks.size;
+    timeline.record("process_stopped", { detail: `${cutOffCount} cut off` });
     kill();
     await clients.close();
-    entryLogger.info("Stopped.", { cutOff: cut });
-    return cut;
+    entryLogger.info("Stopped.", { cutOff: cutOffCount });
+    return cutOffCount;
   }
 
   async function waitForRequests(): Promise<void> {
-    const giveUpAt = clock.now() + settings.timing.shutdownMs;
+    const timeoutAt = clock.now() + settings.timing.shutdownMs;
     void stopServer(callerServer);
-    while (requestTasks.size > 0 && clock.now() < giveUpAt) {
-      await clock.sleep(STOP_CHECK_INTERVAL, ending.signal);
-      if (ending.signal.aborted) return;
+    while (requestTasks.size > 0 && clock.now() < timeoutAt) {
+      await clock.sleep(STOP_CHECK_INTERVAL, shutdown.signal);
+      if (shutdown.signal.aborted) return;
     }
   }
 
   function kill(): void {
-    ending.abort();
+    shutdown.abort();
     callerServer.closeAllConnections();
     controlServer.closeAllConnections();
     callerServer.close();
@@ -365,14 +365,14 @@
   };
 }
 
-function refuseEarly(
+function refuseWhileStarting(
   _request: IncomingMessage,
   response: ServerResponse,
 ): void {
-  sendAnswer(response, createFailureAnswer(EARLY_FAILURE));
+  sendAnswer(response, createFailureAnswer(STARTING_FAILURE));
 }
 
-const EARLY_FAILURE = createFailure("stopping", {
+const STARTING_FAILURE = createFailure("stopping", {
   verdict: "not_run",
   message: "this entry is starting",
 });
--- a/packages/entry/src/generation_runner.ts
+++ b/packages/entry/src/generation_runner.ts
@@ -19,7 +19,7 @@
 import type { EntryContext } from "./entry_context.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { SecondAttemptPolicy, StageAttempt } from "./stage_attempts.ts";
-import { createGivenUpFailure, runAttempts } from "./stage_attempts.ts";
+import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
 /** What is generated. */
 export interface GenerationTask {
@@ -32,7 +32,7 @@
   prefix: string;
   maxTokens: number;
   /** Time that later stages need. */
-  reserve: number;
+  reservedTime: number;
   affinity: NonNullable<RoutingRequest["affinity"]> | undefined;
   /** Where tokens go as they come. */
   sink: TokenSink;
@@ -44,7 +44,7 @@
 export interface TokenSink {
   /** A generation begins; tokens taken before belong to one that is lost. */
   start(generation: StartedGeneration): void;
-  take(tokens: readonly Token[]): void;
+  write(tokens: readonly Token[]): void;
 }
 
 /** Where a generation runs. */
@@ -81,7 +81,7 @@
 ): Promise<Result<number, Failure>> {
   const { run } = task;
   let number = 1;
-  for (let turn = 1;; turn++) {
+  for (let runCount = 1;; runCount++) {
     const opened = await openGeneration(context, { task, tools, number });
     if (opened.isErr) return Result.err(opened.error);
     number = opened.value.number + 1;
@@ -91,7 +91,7 @@
       opened: opened.value,
     });
     if (end.isOk) return end;
-    const mayRepeat = run.isIdempotent && turn < MAX_RUNS &&
+    const mayRepeat = run.isIdempotent && runCount < MAX_RUNS &&
       !run.deadline.signal.aborted && tools.policy.budget.withdraw();
     if (!mayRepeat) return end;
     context.metrics.countSecondAttempt("retry");
@@ -125,13 +125,13 @@
       account: run.account,
       size: prompt.length,
       deadline: run.deadline,
-      reserve: task.reserve +
+      reserve: task.reservedTime +
         tools.decodeTimes.estimateTypical(task.maxTokens),
       ...(affinity === undefined ? {} : { affinity }),
     },
     policy: tools.policy,
     firstNumber: number,
-    keepsPermit: true,
+    retainsPermit: true,
     send: (attempt) => sendGeneration(context, { task, tools, attempt }),
     onWasted: (duration) => tools.onWasted(task.poolName, duration),
   });
@@ -149,8 +149,8 @@
   const { endpoint, signal } = attempt;
   // Outlives the attempt: once opened, only the request's end stops it.
   const controller = new AbortController();
-  const giveUp = () => controller.abort();
-  signal.addEventListener("abort", giveUp, { once: true });
+  const abort = () => controller.abort();
+  signal.addEventListener("abort", abort, { once: true });
   if (task.prefix !== "") tools.onSent(endpoint, task.prefix);
   timeline.record("stage_sent", {
     request: run.id,
@@ -171,8 +171,8 @@
     causalTime: formatCausalTime(timeline.clock.tick()),
     signal: controller.signal,
   });
-  const first = await readUntilToken(events);
-  signal.removeEventListener("abort", giveUp);
+  const first = await readFirstEvent(events);
+  signal.removeEventListener("abort", abort);
   if (first.event.kind === "broken") {
     // An engine goes on for a while without a reader, so that a stream can be
     // resumed. Nobody can resume this one: it would hold a slot for nobody.
@@ -188,15 +188,15 @@
   return Result.ok({ events, controller, streamId, first: first.event });
 }
 
-interface FirstRead {
+interface FirstEvent {
   streamId: string | undefined;
   /** The first event that is not `start`. */
   event: GenerationEvent;
 }
 
-async function readUntilToken(
+async function readFirstEvent(
   events: AsyncGenerator<GenerationEvent>,
-): Promise<FirstRead> {
+): Promise<FirstEvent> {
   let streamId: string | undefined;
   for (;;) {
     const next = await events.next();
@@ -243,13 +243,13 @@
     return end;
   }
   tools.onWasted(task.poolName, duration);
-  const isOurs = run.deadline.signal.aborted;
-  permit.release(isOurs ? "abandoned" : "failing");
-  if (!isOurs) return end;
+  const isRequestAborted = run.deadline.signal.aborted;
+  permit.release(isRequestAborted ? "abandoned" : "failing");
+  if (!isRequestAborted) return end;
   if (!task.isResumable || run.deadline.hasPassed()) {
     void tools.engines.cancel(permit.endpoint, value.streamId);
   }
-  return Result.err(createGivenUpFailure(run));
+  return Result.err(createAbortedFailure(run));
 }
 
 async function readToEnd(
@@ -267,13 +267,13 @@
       return Result.err(failStream("ended without its end event"));
     }
     if (event.kind === "tokens") {
-      sink.take(event.tokens);
+      sink.write(event.tokens);
       stream.next += event.tokens.length;
     } else if (event.kind === "end") return Result.ok(event.count);
     else if (event.kind === "broken") {
-      const isLost = run.deadline.signal.aborted ||
+      const isUnrecoverable = run.deadline.signal.aborted ||
         stream.resumes >= MAX_RESUMES;
-      if (isLost) return Result.err(event.failure);
+      if (isUnrecoverable) return Result.err(event.failure);
       stream.resumes++;
       stream.events = tools.engines.resume({
         endpoint: opened.permit.endpoint,
--- a/packages/entry/src/lease_keeper.ts
+++ b/packages/entry/src/lease_manager.ts
@@ -12,7 +12,7 @@
 import type { EntryContext } from "./entry_context.ts";
 
 /** The leases of one entry. */
-export interface LeaseKeeper {
+export interface LeaseManager {
   /**
    * Takes or renews a lease if that can be had; the lease while it is valid.
    * Called again and again by whoever needs it.
@@ -41,22 +41,22 @@
 const RENEW_SHARE = 1 / 3;
 /** The end of a lease that is not used, for the way of an order. */
 const MARGIN_SHARE = 0.2;
-const WAIT_LIMIT: Millis = 2_000;
-const WAIT_STEP: Millis = 10;
+const CONFIRM_TIMEOUT: Millis = 2_000;
+const CONFIRM_POLL_INTERVAL: Millis = 10;
 
 /** Starts to follow the leases of all entries. */
-export function startLeaseKeeper(
+export function startLeaseManager(
   context: EntryContext,
   log: LogClient,
-): LeaseKeeper {
+): LeaseManager {
   const { clock, settings, incarnation, random, signal, timeline } = context;
   const duration = settings.timing.leaseMs;
   const table = createLeaseTable();
-  const own = new Map<string, OwnLease>();
+  const ownLeases = new Map<string, OwnLease>();
   /** When a grant or renewal of a resource was last read, by this clock. */
-  const seenAt = new Map<string, Millis>();
+  const lastExtendedAt = new Map<string, Millis>();
 
-  function takeEvent(event: TailEvent): void {
+  function handleEvent(event: TailEvent): void {
     if (event.kind !== "record") return;
     const parsed = leaseRecordSchema.safeParse(event.record.value);
     if (!parsed.success) return;
@@ -66,17 +66,17 @@
       event.record,
     );
     const isExtended = outcome === "granted" || outcome === "renewed";
-    if (isExtended) seenAt.set(record.resource, clock.now());
+    if (isExtended) lastExtendedAt.set(record.resource, clock.now());
   }
 
   async function keep(resource: string): Promise<HeldLease | undefined> {
-    const mine = own.get(resource);
-    if (mine !== undefined && mine.held.isValid()) {
-      const isDue = clock.now() - mine.renewedAt > duration * RENEW_SHARE;
-      if (isDue) await renew(resource, mine);
-      return mine.held.isValid() ? mine.held : undefined;
+    const ownLease = ownLeases.get(resource);
+    if (ownLease !== undefined && ownLease.held.isValid()) {
+      const isDue = clock.now() - ownLease.renewedAt > duration * RENEW_SHARE;
+      if (isDue) await renew(resource, ownLease);
+      return ownLease.held.isValid() ? ownLease.held : undefined;
     }
-    if (mine !== undefined) {
+    if (ownLease !== undefined) {
       drop(resource);
       timeline.record("lease_lost", { detail: resource });
     }
@@ -85,7 +85,7 @@
 
   /** By this clock; the log decides in the end. */
   function isHeldByOther(resource: string): boolean {
-    const lastSeen = seenAt.get(resource);
+    const lastSeen = lastExtendedAt.get(resource);
     return lastSeen !== undefined && clock.now() - lastSeen < duration;
   }
 
@@ -108,13 +108,13 @@
       sentAt,
       margin: duration * MARGIN_SHARE,
     });
-    own.set(resource, { held, renewedAt: sentAt });
+    ownLeases.set(resource, { held, renewedAt: sentAt });
     timeline.record("lease_acquired", { detail: `${resource} ${lease.fence}` });
     return held.isValid() ? held : undefined;
   }
 
-  async function renew(resource: string, mine: OwnLease): Promise<void> {
-    const { fence } = mine.held;
+  async function renew(resource: string, ownLease: OwnLease): Promise<void> {
+    const { fence } = ownLease.held;
     const before = table.find(resource)?.expiresAt ?? 0;
     const sentAt = clock.now();
     const attemptId = context.createUniqueText();
@@ -127,8 +127,8 @@
       return lease?.fence === fence && lease.expiresAt > before;
     });
     if (!isRenewed) return;
-    mine.held.extend(sentAt);
-    mine.renewedAt = sentAt;
+    ownLease.held.extend(sentAt);
+    ownLease.renewedAt = sentAt;
   }
 
   function createRecord(
@@ -140,16 +140,16 @@
   }
 
   async function waitUntil(condition: () => boolean): Promise<boolean> {
-    const giveUpAt = clock.now() + WAIT_LIMIT;
+    const timeoutAt = clock.now() + CONFIRM_TIMEOUT;
     while (!condition()) {
-      if (clock.now() >= giveUpAt || signal.aborted) return false;
-      await clock.sleep(WAIT_STEP, signal);
+      if (clock.now() >= timeoutAt || signal.aborted) return false;
+      await clock.sleep(CONFIRM_POLL_INTERVAL, signal);
     }
     return true;
   }
 
   function drop(resource: string): void {
-    own.delete(resource);
+    ownLeases.delete(resource);
   }
 
   const tail = startLogTail({
@@ -160,6 +160,6 @@
     signal,
     random,
   });
-  const following = tail.events.observe(takeEvent).then(() => undefined);
+  const following = tail.events.observe(handleEvent).then(() => undefined);
   return { keep, drop, tasks: [tail.task, following] };
 }
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -87,14 +87,14 @@
   async function stop(): Promise<void> {
     if (isStopping) {
       // The second signal: whoever sent it does not want to wait.
-      const cut = entry.status.inProgress;
-      logger.forPart("entry").warn("Stopped at once.", { cutOff: cut });
+      const cutOff = entry.status.inProgress;
+      logger.forPart("entry").warn("Stopped at once.", { cutOff });
       entry.kill();
-      process.exit(cut === 0 ? 0 : EXIT_FAILED);
+      process.exit(cutOff === 0 ? 0 : EXIT_FAILED);
     }
     isStopping = true;
-    const cut = await entry.stop();
-    process.exit(cut === 0 ? 0 : EXIT_FAILED);
+    const cutOff = await entry.stop();
+    process.exit(cutOff === 0 ? 0 : EXIT_FAILED);
   }
 
   process.on("SIGTERM", () => void stop());
--- a/packages/entry/src/once_guard.ts
+++ b/packages/entry/src/once_guard.ts
@@ -25,14 +25,14 @@
 import { failMalformed } from "./request_head.ts";
 
 /** What may be done with a request. */
-export type OnceDecision =
+export type GuardDecision =
   /** It may run here, once; the run must be finished or abandoned. */
   | { kind: "run"; run: OwnedRun<StoredAnswer> }
   /** It ran or was refused before; this was the answer. */
   | { kind: "answered"; answer: StoredAnswer };
 
 /** A non-idempotent request. */
-export interface OnceRequest {
+export interface GuardedRequest {
   account: string;
   id: RequestId;
   isFirstAttempt: boolean;
@@ -42,13 +42,13 @@
 }
 
 /** Asks the entry with an incarnation; undefined when it cannot be asked. */
-export type AskOwner = (
+export type QueryOwner = (
   incarnation: string,
-  question: OutcomeQuestion,
+  query: OutcomeQuestion,
 ) => Promise<OutcomeReply | undefined>;
 
 /** What the guard needs of its entry. */
-export interface OnceGuardContext {
+export interface AtMostOnceGuardContext {
   clock: Clock;
   incarnation: string;
   settings: {
@@ -56,37 +56,37 @@
   };
 }
 
-/** Options of {@linkcode createOnceGuard}. */
-export interface OnceGuardOptions {
+/** Options of {@linkcode createAtMostOnceGuard}. */
+export interface AtMostOnceGuardOptions {
   outcomes: OutcomeTable<StoredAnswer>;
   claims: Pick<ClaimService, "claim" | "table">;
-  askOwner: AskOwner;
+  queryOwner: QueryOwner;
 }
 
 /** Guards non-idempotent requests. */
-export interface OnceGuard {
-  begin(request: OnceRequest): Promise<Result<OnceDecision, Failure>>;
+export interface AtMostOnceGuard {
+  begin(request: GuardedRequest): Promise<Result<GuardDecision, Failure>>;
   /** Answers a peer about a request that only this entry may run. */
-  answer(question: OutcomeQuestion): Promise<OutcomeReply>;
+  answer(query: OutcomeQuestion): Promise<OutcomeReply>;
 }
 
 /** Other entries' clocks, which make bindings too, may be ahead by this. */
-const MAX_AHEAD: Millis = 60_000;
+const MAX_CLOCK_SKEW: Millis = 60_000;
 /** Left of the deadline after waiting for a claim, to run the request in. */
-const CLAIM_SHARE = 0.5;
+const CLAIM_WAIT_SHARE = 0.5;
 /** Records for dated ids are kept until no entry accepts the id any more. */
-const KEEP_WINDOWS = 2;
+const RETENTION_WINDOWS = 2;
 
-type Decision = Result<OnceDecision, Failure>;
+type Decision = Result<GuardDecision, Failure>;
 
 /** Creates the guard of one entry incarnation. */
-export function createOnceGuard(
-  { settings, clock, incarnation }: OnceGuardContext,
-  { outcomes, claims, askOwner }: OnceGuardOptions,
-): OnceGuard {
+export function createAtMostOnceGuard(
+  { settings, clock, incarnation }: AtMostOnceGuardContext,
+  { outcomes, claims, queryOwner }: AtMostOnceGuardOptions,
+): AtMostOnceGuard {
   const { bindingMs, claimWindowMs } = settings.timing;
 
-  async function begin(request: OnceRequest): Promise<Decision> {
+  async function begin(request: GuardedRequest): Promise<Decision> {
     const { id } = request;
     switch (id.kind) {
       case "bound":
@@ -101,36 +101,44 @@
   }
 
   async function beginBound(
-    request: OnceRequest,
+    request: GuardedRequest,
     id: RequestId & { kind: "bound" },
   ): Promise<Decision> {
     const key = { account: request.account, id: id.text };
     const now = clock.now();
-    if (id.expiresAt > now + bindingMs + MAX_AHEAD) {
+    if (id.expiresAt > now + bindingMs + MAX_CLOCK_SKEW) {
       return Result.err(failMalformed("the id's binding lasts too long"));
     }
     if (id.incarnation !== incarnation) {
-      return await askOther(id.incarnation, { request, key }, id.expiresAt);
+      return await fetchFromOwner(
+        id.incarnation,
+        { request, key },
+        id.expiresAt,
+      );
     }
     // From here on the records that could show an earlier run may be gone.
     if (id.expiresAt <= now) return Result.err(failUnknown("expired"));
-    return await beginHere(request, { key, keepUntil: id.expiresAt });
+    return await beginLocal(request, { key, keepUntil: id.expiresAt });
   }
 
   async function beginDated(
-    request: OnceRequest,
+    request: GuardedRequest,
     id: RequestId & { kind: "dated" },
   ): Promise<Decision> {
     const key = { account: request.account, id: id.text };
     if (!claims.table.isWithinWindow(id.issuedAt)) {
       return Result.err(failUnknown("expired"));
     }
-    const keepUntil = id.issuedAt + KEEP_WINDOWS * claimWindowMs;
+    const keepUntil = id.issuedAt + RETENTION_WINDOWS * claimWindowMs;
     const holder = claims.table.find(key);
     if (holder !== undefined && holder.incarnation !== incarnation) {
-      return await askOther(holder.incarnation, { request, key }, keepUntil);
+      return await fetchFromOwner(
+        holder.incarnation,
+        { request, key },
+        keepUntil,
+      );
     }
-    const decision = await beginHere(request, { key, keepUntil });
+    const decision = await beginLocal(request, { key, keepUntil });
     // A claim of this incarnation that was read before and left no record was
     // abandoned before dispatch, so the request may run now.
     if (decision.isErr || decision.value.kind !== "run") return decision;
@@ -144,7 +152,7 @@
   }
 
   async function claimRun(
-    request: OnceRequest,
+    request: GuardedRequest,
     { key, issuedAt, keepUntil, run }: {
       key: RequestKey;
       issuedAt: Millis;
@@ -154,7 +162,7 @@
   ): Promise<Decision> {
     const controller = new AbortController();
     const giveUp = () => controller.abort();
-    const wait = request.remaining * CLAIM_SHARE;
+    const wait = request.remaining * CLAIM_WAIT_SHARE;
     const stopTimer = clock.startTimer(wait, giveUp);
     request.signal.addEventListener("abort", giveUp, { once: true });
     const outcome = await claims.claim({ ...key, issuedAt }, controller.signal);
@@ -164,7 +172,7 @@
     // Nothing was dispatched here and nothing will be under this claim.
     run.abandon(createUnknownAnswer());
     if (outcome.kind === "lost") {
-      return await askOther(outcome.holder, { request, key }, keepUntil);
+      return await fetchFromOwner(outcome.holder, { request, key }, keepUntil);
     }
     return Result.err(createFailure("unavailable", {
       verdict: request.isFirstAttempt ? "not_run" : "may_have_run",
@@ -173,8 +181,8 @@
     }));
   }
 
-  async function beginHere(
-    request: OnceRequest,
+  async function beginLocal(
+    request: GuardedRequest,
     { key, keepUntil }: { key: RequestKey; keepUntil: Millis },
   ): Promise<Decision> {
     const begun = outcomes.begin(key, keepUntil);
@@ -197,13 +205,13 @@
     }
   }
 
-  async function askOther(
+  async function fetchFromOwner(
     owner: string,
-    { request, key }: { request: OnceRequest; key: RequestKey },
+    { request, key }: { request: GuardedRequest; key: RequestKey },
     keepUntil: Millis,
   ): Promise<Decision> {
-    const waitMs = Math.max(0, request.remaining - OWNER_SLACK);
-    const reply = await askOwner(owner, { ...key, keepUntil, waitMs });
+    const waitMs = Math.max(0, request.remaining - OWNER_REPLY_MARGIN);
+    const reply = await queryOwner(owner, { ...key, keepUntil, waitMs });
     if (reply?.kind === "answered") {
       return Result.ok({ kind: "answered", answer: reply.answer });
     }
@@ -211,18 +219,18 @@
     return Result.err(failUnknown("owner"));
   }
 
-  async function answer(question: OutcomeQuestion): Promise<OutcomeReply> {
+  async function answer(query: OutcomeQuestion): Promise<OutcomeReply> {
     const now = clock.now();
     // An expired id has no record any more; and nothing may be promised about
     // one that a broken clock elsewhere made last for ever.
-    const isTooLong = question.keepUntil > now + bindingMs + MAX_AHEAD +
-        KEEP_WINDOWS * claimWindowMs;
-    if (question.keepUntil <= now || isTooLong) return { kind: "unknown" };
-    const found = outcomes.forbid(question, question.keepUntil);
+    const isTooLong = query.keepUntil > now + bindingMs + MAX_CLOCK_SKEW +
+        RETENTION_WINDOWS * claimWindowMs;
+    if (query.keepUntil <= now || isTooLong) return { kind: "unknown" };
+    const found = outcomes.forbid(query, query.keepUntil);
     if (found.kind === "forbidden") return { kind: "forbidden" };
     if (found.kind === "full") return { kind: "unknown" };
     const controller = new AbortController();
-    const stop = clock.startTimer(question.waitMs, () => controller.abort());
+    const stop = clock.startTimer(query.waitMs, () => controller.abort());
     const answered = await waitForOutcome(found.outcome, controller.signal);
     stop();
     if (answered === undefined) return { kind: "unknown" };
@@ -235,7 +243,7 @@
 const LOG_RETRY_AFTER: Millis = 1_000;
 const FULL_RETRY_AFTER: Millis = 5_000;
 /** Time for the way back from the owner. */
-const OWNER_SLACK: Millis = 50;
+const OWNER_REPLY_MARGIN: Millis = 50;
 
 function waitForOutcome<T>(
   outcome: Promise<T>,
--- a/packages/entry/src/once_guard_test.ts
+++ b/packages/entry/src/once_guard_test.ts
@@ -10,8 +10,8 @@
 import type { FakeClock } from "@mangoreach/shared";
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { OnceRequest } from "./once_guard.ts";
-import { createOnceGuard } from "./once_guard.ts";
+import type { GuardedRequest } from "./once_guard.ts";
+import { createAtMostOnceGuard } from "./once_guard.ts";
 
 const NOW = 1_800_000_000_000;
 const ANSWER: StoredAnswer = {
@@ -42,12 +42,12 @@
       timing: { bindingMs: BINDING_MS, claimWindowMs: BINDING_MS },
     };
     const table = createClaimTable({ clock, window: BINDING_MS });
-    const guard = createOnceGuard(
+    const guard = createAtMostOnceGuard(
       { settings, clock, incarnation },
       {
         outcomes: createOutcomeTable({ clock, capacity: 10 }),
         claims: { table, claim: () => Promise.resolve(claimOutcome) },
-        askOwner: (owner) => {
+        queryOwner: (owner) => {
           asked.push(owner);
           return Promise.resolve(ownerReply);
         },
@@ -58,8 +58,8 @@
 
   function createRequest(
     text: string,
-    change: Partial<OnceRequest> = {},
-  ): OnceRequest {
+    change: Partial<GuardedRequest> = {},
+  ): GuardedRequest {
     const id = parseRequestId(text);
     if (id === undefined) throw new Error(`malformed id ${text}`);
     return {
--- a/packages/entry/src/peer_exchange.ts
+++ b/packages/entry/src/peer_exchange.ts
@@ -33,9 +33,9 @@
   /** Requests in progress here. */
   countInFlight: () => number;
   /** The highest priority that missed deadlines here lately, 0 for none. */
-  readStrained: () => number;
+  readStrainedPriority: () => number;
   /** Told what another entry is strained by. */
-  onStrain: (strainedPriority: number) => void;
+  onStrainedPriority: (strainedPriority: number) => void;
 }
 
 /** A running exchange. */
@@ -45,11 +45,11 @@
   /** Takes control addresses from the instance list. */
   addSeeds(entries: readonly EndpointInfo[]): void;
   /** Tells some peers at once, such as when this entry begins to leave. */
-  tellPeers(): Promise<void>;
+  notifyPeers(): Promise<void>;
   /** Asks the entry of an incarnation; undefined when it cannot be asked. */
-  askOwner(
+  queryOwner(
     incarnation: string,
-    question: OutcomeQuestion,
+    query: OutcomeQuestion,
   ): Promise<OutcomeReply | undefined>;
   readonly task: Promise<void>;
 }
@@ -65,7 +65,7 @@
   let seeds: string[] = [...settings.peers];
 
   /** Takes a newer configuration from a peer while the log is away or slow. */
-  async function readNewerConfig(
+  async function fetchNewerConfig(
     { heartbeats }: PeerExchange,
     address: string,
   ): Promise<void> {
@@ -78,21 +78,21 @@
     if (newer.isOk && newer.value !== undefined) config.adopt(newer.value);
   }
 
-  function beat(): void {
+  function updateSelf(): void {
     membership.beat({
       inFlight: options.countInFlight(),
-      strainedPriority: options.readStrained(),
+      strainedPriority: options.readStrainedPriority(),
       configVersion: config.active?.version ?? 0,
     });
   }
 
-  async function askOwner(
+  async function queryOwner(
     incarnation: string,
-    question: OutcomeQuestion,
+    query: OutcomeQuestion,
   ): Promise<OutcomeReply | undefined> {
     const owner = findByIncarnation(membership, incarnation);
     if (owner === undefined) return undefined;
-    const reply = await peers.askOutcome(owner.controlAddress, question);
+    const reply = await peers.askOutcome(owner.controlAddress, query);
     return reply.isOk ? reply.value : undefined;
   }
 
@@ -103,7 +103,7 @@
     membership,
     directory,
     interval: settings.timing.exchangeMs,
-    beat,
+    beat: updateSelf,
     listSeeds: () => seeds,
     exchange: (address, message) => peers.exchange(address, message),
     markLeaving: options.markLeaving,
@@ -111,8 +111,9 @@
     noteLimitNews: options.limits.takeNews,
     onIntroduced: ({ entry }) =>
       timeline.record("peer_seen", { detail: entry }),
-    onHeartbeat: ({ strainedPriority }) => options.onStrain(strainedPriority),
-    onReply: readNewerConfig,
+    onHeartbeat: ({ strainedPriority }) =>
+      options.onStrainedPriority(strainedPriority),
+    onReply: fetchNewerConfig,
     onUnanswered: (address) =>
       logger.debug("No answer from a peer.", { address }),
     onBytes: (direction, bytes) => metrics.countPeerBytes(direction, bytes),
@@ -123,8 +124,8 @@
     addSeeds(entries) {
       seeds = [...settings.peers, ...entries.map(({ address }) => address)];
     },
-    tellPeers: () => loop.tellPeers(),
-    askOwner,
+    notifyPeers: () => loop.tellPeers(),
+    queryOwner,
     task: loop.task,
   };
 }
--- a/packages/entry/src/pipeline_runner.ts
+++ b/packages/entry/src/pipeline_runner.ts
@@ -29,7 +29,7 @@
 import type { PoolSet } from "./pool_set.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
-import { createGivenUpFailure, runAttempts } from "./stage_attempts.ts";
+import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
 /** A pipeline request that was admitted. */
 export interface PipelineTask {
@@ -60,7 +60,7 @@
   policy: SecondAttemptPolicy;
   demand: DemandTracker;
   /** Whether work that cannot be finished in time is dropped between stages. */
-  dropsHopeless: boolean;
+  dropsInfeasible: boolean;
 }
 
 const PREFIX_NAME_LENGTH = 16;
@@ -106,27 +106,34 @@
     const { pipeline, run: request, body } = task;
     let previous: unknown = null;
     for (const [i, stage] of pipeline.stages.entries()) {
-      const reserve = computeReserve(pipeline.stages.slice(i + 1), body);
+      const reservedTime = computeReservedTime(
+        pipeline.stages.slice(i + 1),
+        body,
+      );
       const startedAt = clock.now();
       const output = stage.model === undefined
-        ? await runPlainStage(task, { stage, previous, reserve })
-        : await runEngineStage(task, { stage, previous, reserve });
+        ? await runPlainStage(task, { stage, previous, reservedTime })
+        : await runEngineStage(task, {
+          stage,
+          previous,
+          reservedTime,
+        });
       metrics.observeStage(stage.name, (clock.now() - startedAt) / 1_000);
       if (output.isErr) {
         return Result.err(explainFailure(request, output.error));
       }
       previous = output.value;
-      if (isHopeless(task, i)) return Result.err(failHopeless(request));
+      if (isInfeasible(task, i)) return Result.err(failInfeasible(request));
     }
     return Result.ok(previous);
   }
 
   /** Least time that the stages after one need. */
-  function computeReserve(
+  function computeReservedTime(
     stages: readonly StageConfig[],
     { text }: PipelineBody,
   ): number {
-    if (!options.dropsHopeless) return 0;
+    if (!options.dropsInfeasible) return 0;
     const request = { priority: 1, textLength: text.length };
     return stages.reduce(
       (sum, stage) => sum + forecastStage(stage, request).unloaded,
@@ -134,22 +141,22 @@
     );
   }
 
-  function isHopeless({ pipeline, body, run }: PipelineTask, i: number) {
+  function isInfeasible({ pipeline, body, run }: PipelineTask, i: number) {
     if (run.deadline.hasPassed()) return true;
-    const rest = computeReserve(pipeline.stages.slice(i + 1), body);
+    const rest = computeReservedTime(pipeline.stages.slice(i + 1), body);
     return run.deadline.remaining() < rest;
   }
 
   async function runPlainStage(
     { run, body }: PipelineTask,
-    { stage, previous, reserve }: StageStep,
+    { stage, previous, reservedTime }: StageStep,
   ): Promise<Result<unknown, Failure>> {
     const work: PoolWork = {
       workClass: run.workClass,
       account: run.account,
       size: body.text.length,
       deadline: run.deadline,
-      reserve,
+      reserve: reservedTime,
     };
     const done = await runAttempts<unknown>({
       clock,
@@ -159,7 +166,7 @@
       pool: pools.find(stage.pool),
       work,
       policy,
-      keepsPermit: false,
+      retainsPermit: false,
       send: async ({ endpoint, number, signal }) => {
         const subject = {
           request: run.id,
@@ -183,14 +190,14 @@
         );
         return reply.map(({ output }) => output);
       },
-      onWasted: (duration) => addWaste(stage.pool, duration),
+      onWasted: (duration) => addWastedTime(stage.pool, duration),
     });
     return done.map(({ value }) => value);
   }
 
   async function runEngineStage(
     { run, body, sink, pipeline }: PipelineTask,
-    { stage, previous, reserve }: StageStep,
+    { stage, previous, reservedTime }: StageStep,
   ): Promise<Result<unknown, Failure>> {
     const isLast = stage === pipeline.stages.at(-1);
     options.demand.record(stage.model ?? "", stage.maxTokens ?? 0);
@@ -207,7 +214,7 @@
         prompt: formatPrompt(body, previous),
         prefix,
         maxTokens: stage.maxTokens ?? 0,
-        reserve,
+        reservedTime,
         affinity: prefix === ""
           ? undefined
           : (endpoint) =>
@@ -241,11 +248,11 @@
       decodeTimes: findDecodeTimes(pool),
       onSent: (endpoint, prefix) =>
         affinity.noteSent(formatEndpointKey(endpoint), prefix),
-      onWasted: addWaste,
+      onWasted: addWastedTime,
     };
   }
 
-  function addWaste(pool: string, duration: number): void {
+  function addWastedTime(pool: string, duration: number): void {
     pools.addCost(pool, { duration, isUseful: false });
   }
 
@@ -259,17 +266,17 @@
 interface StageStep {
   stage: StageConfig;
   previous: unknown;
-  reserve: number;
+  reservedTime: number;
 }
 
 /** The failure that the caller sees: its verdict covers the whole request. */
 function explainFailure(run: RequestRun, failure: Failure): Failure {
-  if (run.deadline.signal.aborted) return createGivenUpFailure(run);
+  if (run.deadline.signal.aborted) return createAbortedFailure(run);
   return { ...failure, verdict: run.verdict };
 }
 
-function failHopeless(run: RequestRun): Failure {
-  if (run.deadline.signal.aborted) return createGivenUpFailure(run);
+function failInfeasible(run: RequestRun): Failure {
+  if (run.deadline.signal.aborted) return createAbortedFailure(run);
   return createFailure("deadline_exceeded", {
     verdict: run.verdict,
     message: "the stages left take longer than the deadline",
@@ -297,7 +304,7 @@
     start() {
       parts = [];
     },
-    take(tokens) {
+    write(tokens) {
       for (const { text } of tokens) parts.push(text);
     },
     readText: () => parts.join(""),
--- a/packages/entry/src/order_keeper.ts
+++ b/packages/entry/src/placement_controller.ts
@@ -26,11 +26,11 @@
 import type { Millis } from "@mangoreach/shared";
 import type { WeightStoreClient } from "@mangoreach/weight_store";
 import type { EntryContext } from "./entry_context.ts";
-import type { LeaseKeeper } from "./lease_keeper.ts";
+import type { LeaseManager } from "./lease_manager.ts";
 
-/** Options of {@linkcode keepOrders}. */
-export interface OrderKeeperOptions {
-  leases: LeaseKeeper;
+/** Options of {@linkcode runPlacementController}. */
+export interface PlacementControllerOptions {
+  leases: LeaseManager;
   orders: EngineOrderClient;
   weights: WeightStoreClient;
   directory: EndpointDirectory;
@@ -45,44 +45,44 @@
 }
 
 /** Looks after its pools this often, as a share of a lease's duration. */
-const ROUND_SHARE = 0.25;
+const ROUND_INTERVAL_SHARE = 0.25;
 
 /** Keeps orders until the entry ends. */
-export async function keepOrders(
+export async function runPlacementController(
   context: EntryContext,
-  options: OrderKeeperOptions,
+  options: PlacementControllerOptions,
 ): Promise<void> {
   const { clock, settings, random, signal, timeline } = context;
   const { leases, orders, weights, directory, demand } = options;
   const logger = context.logger.forPart("orders");
   /** When this entry may first order engines without fencing, by lease. */
   const mayOrderAt = new Map<number, Millis>();
-  let weightsWaitUntil: Millis = 0;
+  let weightStoreRetryAt: Millis = 0;
 
   async function runRound(round: PoolRound): Promise<void> {
     const { pool, config, lease } = round;
     if (!mayOrder(round)) return;
     const engines = directory.listUsable(pool.name);
-    const holdings = await readHoldings(engines);
+    const inventories = await readInventories(engines);
     const plans = planPlacement({
       models: config.models,
-      engines: holdings,
+      engines: inventories,
       demand: demand.read(),
       modelsPerEngine: pool.modelsPerEngine,
     });
-    for (const holding of holdings) {
+    for (const inventory of inventories) {
       const plan = plans.find(({ endpointKey }) =>
-        endpointKey === holding.endpointKey
+        endpointKey === inventory.endpointKey
       );
       const endpoint = engines.find((engine) =>
-        formatEndpointKey(engine) === holding.endpointKey
+        formatEndpointKey(engine) === inventory.endpointKey
       );
       if (plan === undefined || endpoint === undefined) continue;
-      if (isSamePlan(plan.models, holding.models)) continue;
+      if (isSamePlan(plan.models, inventory.models)) continue;
       const desired: DesiredState = { models: plan.models, role: "both" };
       if (!await hasWeights(desired)) return;
-      const isKept = await sendOrder({ endpoint, desired, lease });
-      if (!isKept) return leases.drop(formatResource(pool));
+      const isLeaseUsable = await sendOrder({ endpoint, desired, lease });
+      if (!isLeaseUsable) return leases.drop(formatResource(pool));
     }
   }
 
@@ -101,7 +101,7 @@
     return false;
   }
 
-  async function readHoldings(
+  async function readInventories(
     engines: readonly EndpointInfo[],
   ): Promise<EngineHolding[]> {
     const states = await Promise.all(engines.map(async (engine) => ({
@@ -116,12 +116,12 @@
 
   /** Whether the weight store has what is wanted; waits out its rate limit. */
   async function hasWeights({ models }: DesiredState): Promise<boolean> {
-    if (clock.now() < weightsWaitUntil) return false;
+    if (clock.now() < weightStoreRetryAt) return false;
     for (const { name } of models) {
       const found = await weights.find(name);
       if (found.isOk) continue;
       const wait = found.error.retryAfterMs ?? settings.timing.leaseMs;
-      weightsWaitUntil = clock.now() + wait * (1 + random());
+      weightStoreRetryAt = clock.now() + wait * (1 + random());
       logger.warn("Orders wait for the weight store.", {
         reason: found.error.message,
       });
@@ -158,7 +158,8 @@
   }
 
   while (!signal.aborted) {
-    const pause = settings.timing.leaseMs * ROUND_SHARE * (0.75 + random() / 2);
+    const pause = settings.timing.leaseMs * ROUND_INTERVAL_SHARE *
+      (0.75 + random() / 2);
     await clock.sleep(pause, signal);
     const config = options.readConfig();
     if (signal.aborted || config === undefined) continue;
--- a/packages/entry/src/pool_set.ts
+++ b/packages/entry/src/pool_set.ts
@@ -51,7 +51,7 @@
   directory: EndpointDirectory;
   attainment: AttainmentTracker;
   /** Whether an engine holds a model, or nothing is known of it yet. */
-  holdsModel: (endpoint: EndpointInfo, model: string) => boolean;
+  hasModel: (endpoint: EndpointInfo, model: string) => boolean;
   allowance: SendAllowance;
   /** Told when an endpoint wants nothing for a while. */
   onPause: (endpoint: EndpointInfo, pause: Millis) => void;
@@ -66,7 +66,7 @@
 /** Creates an empty set. */
 export function createPoolSet(
   context: EntryContext,
-  { directory, attainment, holdsModel, allowance, onPause }: PoolSetOptions,
+  { directory, attainment, hasModel, allowance, onPause }: PoolSetOptions,
 ): PoolSet {
   const { clock, timeline } = context;
   const logger = context.logger.forPart("endpoints");
@@ -104,7 +104,7 @@
     pool.refresh(
       model === undefined
         ? usable
-        : usable.filter((endpoint) => holdsModel(endpoint, model)),
+        : usable.filter((endpoint) => hasModel(endpoint, model)),
     );
   }
 
@@ -153,11 +153,11 @@
 }
 
 function createPolicy({ settings, random }: EntryContext): PoolPolicy {
-  const isOwn = settings.policy === "mangoreach";
+  const isMangoreachPolicy = settings.policy === "mangoreach";
   return {
     choose: createChoice({ settings, random }),
-    hasLimits: isOwn,
-    hasEjection: isOwn,
+    hasLimits: isMangoreachPolicy,
+    hasEjection: isMangoreachPolicy,
   };
 }
 
--- a/packages/entry/src/request_execution.ts
+++ b/packages/entry/src/request_execution.ts
@@ -10,7 +10,7 @@
 import type { EntryContext } from "./entry_context.ts";
 import type { TokenSink } from "./generation_runner.ts";
 import type { PipelineRunner } from "./pipeline_runner.ts";
-import type { ExecutedRequest } from "./request_outcome.ts";
+import type { ExecutionResult } from "./request_outcome.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { ResumeTokens } from "./resume_token.ts";
 import type { ServiceRunner, ServiceTask } from "./service_runner.ts";
@@ -24,13 +24,13 @@
 
 /** Runs admitted requests. */
 export interface RequestExecution {
-  runWhole(task: PipelineExecution): Promise<ExecutedRequest>;
+  runBuffered(task: PipelineExecution): Promise<ExecutionResult>;
   /** Streams the answer while it comes; the outcome was sent already. */
   runStreamed(
     exchange: { response: ServerResponse },
     task: PipelineExecution,
-  ): Promise<ExecutedRequest>;
-  runService(task: ServiceTask): Promise<ExecutedRequest>;
+  ): Promise<ExecutionResult>;
+  runService(task: ServiceTask): Promise<ExecutionResult>;
 }
 
 /** Options of {@linkcode createRequestExecution}. */
@@ -50,9 +50,9 @@
   { settings }: EntryContext,
   { pipelines, services, resumeTokens }: RequestExecutionOptions,
 ): RequestExecution {
-  async function runWhole(
+  async function runBuffered(
     task: PipelineExecution,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     const { run, pipeline } = task;
     const output = await pipelines.run({ ...task, sink: undefined });
     if (output.isErr) return { kind: "failed", failure: output.error };
@@ -67,7 +67,7 @@
   async function runStreamed(
     { response }: { response: ServerResponse },
     task: PipelineExecution,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     const { run } = task;
     const stream = createStreamAnswer(response, run.id);
     let count = 0;
@@ -89,7 +89,7 @@
           expiresAt: run.deadline.at + settings.timing.lingerMs,
         }));
       },
-      take(tokens) {
+      write(tokens) {
         count += tokens.length;
         if (!stream.send(tokens)) run.deadline.cancel("caller_gone");
       },
@@ -106,7 +106,7 @@
 
   async function runService(
     task: ServiceTask,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     const reply = await services.run(task);
     if (reply.isErr) return { kind: "failed", failure: reply.error };
     const { status, contentType, text } = reply.value;
@@ -114,5 +114,5 @@
     return { kind: "answer", answer };
   }
 
-  return { runWhole, runStreamed, runService };
+  return { runBuffered, runStreamed, runService };
 }
--- a/packages/entry/src/request_failures.ts
+++ b/packages/entry/src/request_failures.ts
@@ -56,7 +56,7 @@
 }
 
 /** Creates the refusal of work whose deadline passed before dispatch. */
-export function failTooLate(): Failure {
+export function failDeadlinePassed(): Failure {
   return createFailure("deadline_exceeded", {
     verdict: "not_run",
     message: "the deadline passed before anything was sent",
--- a/packages/entry/src/request_handler.ts
+++ b/packages/entry/src/request_handler.ts
@@ -28,28 +28,28 @@
 import { createFailureAnswer, sendAnswer } from "./caller_answer.ts";
 import type { CredentialsCheck } from "./credentials_check.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { OnceGuard } from "./once_guard.ts";
+import type { AtMostOnceGuard } from "./once_guard.ts";
 import type { PipelineRunner } from "./pipeline_runner.ts";
 import type { PoolSet } from "./pool_set.ts";
 import {
   failBody,
   failClass,
+  failDeadlinePassed,
   failNotFound,
   failNotReady,
   failStopping,
-  failTooLate,
 } from "./request_failures.ts";
 import type { RequestHead } from "./request_head.ts";
 import { readRequestHead } from "./request_head.ts";
 import type { RequestExecution } from "./request_execution.ts";
 import { isStreamable } from "./request_execution.ts";
-import type { ExecutedRequest } from "./request_outcome.ts";
+import type { ExecutionResult } from "./request_outcome.ts";
 import {
+  classifyForAdmission,
   classifyOutcome,
-  createRememberedAnswer,
-  describeEnd,
-  weaken,
+  createStoredAnswer,
   weakenOutcome,
+  weakenVerdict,
 } from "./request_outcome.ts";
 import type { RequestRun } from "./request_run.ts";
 import { createRequestRun } from "./request_run.ts";
@@ -75,7 +75,7 @@
 export interface RequestHandlerOptions {
   credentials: CredentialsCheck;
   readSite: () => SiteConfig | undefined;
-  guard: OnceGuard;
+  guard: AtMostOnceGuard;
   /** Undefined where everything is admitted, to compare with. */
   admission: Admission | undefined;
   attainment: AttainmentTracker;
@@ -96,7 +96,7 @@
   /** The longest time allowed for what is asked. */
   maxDeadline: Millis;
   forecast(priority: number): StageForecast[];
-  execute(run: RequestRun): Promise<ExecutedRequest>;
+  execute(run: RequestRun): Promise<ExecutionResult>;
 }
 
 /** Creates the handler of one entry. */
@@ -112,9 +112,9 @@
     name: string,
   ): Promise<void> {
     const opened = openRequest(exchange);
-    if (opened.isErr) return refuseUnread(exchange, opened.error);
+    if (opened.isErr) return refuseWithoutBody(exchange, opened.error);
     const { head, site, id } = opened.value;
-    const body = await readBodyOrFail(exchange);
+    const body = await readBodyOrRefuse(exchange);
     if (body === undefined) return;
     const pipeline = site.findPipeline(name);
     if (pipeline === undefined) {
@@ -142,7 +142,7 @@
             pipeline,
             body: parsed.data,
           })
-          : execution.runWhole({ run, pipeline, body: parsed.data }),
+          : execution.runBuffered({ run, pipeline, body: parsed.data }),
     });
   }
 
@@ -151,9 +151,9 @@
     { name, path }: { name: string; path: string },
   ): Promise<void> {
     const opened = openRequest(exchange);
-    if (opened.isErr) return refuseUnread(exchange, opened.error);
+    if (opened.isErr) return refuseWithoutBody(exchange, opened.error);
     const { head, site, id } = opened.value;
-    const body = await readBodyOrFail(exchange);
+    const body = await readBodyOrRefuse(exchange);
     if (body === undefined) return;
     const service = site.findService(name);
     if (service === undefined) {
@@ -177,11 +177,11 @@
     });
   }
 
-  async function readBodyOrFail({ request, response }: Exchange) {
+  async function readBodyOrRefuse({ request, response }: Exchange) {
     const outcome = await readBody(request, settings.limits.maxBodyBytes);
     if (outcome.kind === "whole") return outcome.body;
     if (outcome.kind === "cut") return undefined;
-    refuseUnread(
+    refuseWithoutBody(
       { request, response },
       createFailure("too_large", {
         verdict: "not_run",
@@ -197,18 +197,18 @@
       const site = options.readSite();
       if (site === undefined) {
         return Result.err<OpenedRequest, Failure>(
-          weaken(failNotReady(), head),
+          weakenVerdict(failNotReady(), head),
         );
       }
       return Result.ok<OpenedRequest, Failure>({
         head,
         site,
-        id: head.id ?? createOwnId(),
+        id: head.id ?? generateRequestId(),
       });
     });
   }
 
-  function createOwnId(): RequestId {
+  function generateRequestId(): RequestId {
     const expiresAt = Math.floor(clock.now() + settings.timing.bindingMs);
     const text = formatBoundId(
       formatBinding(incarnation, expiresAt),
@@ -261,7 +261,7 @@
   async function runOnce(
     run: RequestRun,
     checked: CheckedRequest,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     const decision = await options.guard.begin({
       account: run.account,
       id: checked.id,
@@ -273,28 +273,28 @@
     if (decision.value.kind === "answered") {
       return { kind: "answer", answer: decision.value.answer };
     }
-    const owned = decision.value.run;
+    const runHandle = decision.value.run;
     const outcome = await runAdmitted(run, checked);
-    keepOutcome(owned, { outcome, run });
+    storeOutcome(runHandle, { outcome, run });
     return outcome;
   }
 
   async function runAdmitted(
     run: RequestRun,
     checked: CheckedRequest,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     if (options.isStopping()) {
       return { kind: "failed", failure: failStopping() };
     }
     // The claim may have taken until the deadline, or the process was frozen.
     if (run.deadline.hasPassed()) {
-      return { kind: "failed", failure: failTooLate() };
+      return { kind: "failed", failure: failDeadlinePassed() };
     }
     const admitted = admit(run, checked);
     if (admitted.isErr) return { kind: "failed", failure: admitted.error };
     const budget = run.deadline.remaining();
     const outcome = await checked.execute(run);
-    admitted.value?.end(describeEnd(outcome, { run, budget }));
+    admitted.value?.end(classifyForAdmission(outcome, { run, budget }));
     return outcome;
   }
 
@@ -328,7 +328,7 @@
     { response }: Exchange,
     { run, outcome, receivedAt }: {
       run: RequestRun;
-      outcome: ExecutedRequest;
+      outcome: ExecutionResult;
       receivedAt: Millis;
     },
   ): void {
@@ -359,7 +359,7 @@
   }
 
   /** Refuses before the body was read, so the connection cannot be kept. */
-  function refuseUnread(exchange: Exchange, failure: Failure): void {
+  function refuseWithoutBody(exchange: Exchange, failure: Failure): void {
     exchange.response.setHeader("connection", "close");
     refuse(exchange, failure);
   }
@@ -369,10 +369,12 @@
     failure: Failure,
     head?: RequestHead,
   ): void {
-    const shown = head === undefined ? failure : weaken(failure, head);
-    metrics.countRefusal(shown.kind);
-    const sending: SendAnswerOptions = { retryAfterMs: shown.retryAfterMs };
-    sendAnswer(response, createFailureAnswer(shown), sending);
+    const reported = head === undefined
+      ? failure
+      : weakenVerdict(failure, head);
+    metrics.countRefusal(reported.kind);
+    const sending: SendAnswerOptions = { retryAfterMs: reported.retryAfterMs };
+    sendAnswer(response, createFailureAnswer(reported), sending);
   }
 
   return { handlePipeline, handleService };
@@ -384,14 +386,14 @@
   id: RequestId;
 }
 
-function keepOutcome(
+function storeOutcome(
   owned: OwnedRun<StoredAnswer>,
-  { outcome, run }: { outcome: ExecutedRequest; run: RequestRun },
+  { outcome, run }: { outcome: ExecutionResult; run: RequestRun },
 ): void {
-  const answer = createRememberedAnswer(outcome, run);
+  const answer = createStoredAnswer(outcome, run);
   // Only what certainly did not run may be run by a later attempt.
-  const isUntouched = outcome.kind === "failed" &&
+  const isNotRun = outcome.kind === "failed" &&
     outcome.failure.verdict === "not_run";
-  if (isUntouched) owned.abandon(answer);
+  if (isNotRun) owned.abandon(answer);
   else owned.finish(answer);
 }
--- a/packages/entry/src/request_outcome.ts
+++ b/packages/entry/src/request_outcome.ts
@@ -18,7 +18,7 @@
 import type { RequestRun } from "./request_run.ts";
 
 /** What came of running a request. */
-export type ExecutedRequest =
+export type ExecutionResult =
   /** To be sent. */
   | { kind: "answer"; answer: StoredAnswer }
   /** Sent already, as a stream, whole. */
@@ -28,8 +28,8 @@
   | { kind: "stream_failed"; failure: Failure };
 
 /** What is remembered of a non-idempotent request for whoever asks again. */
-export function createRememberedAnswer(
-  outcome: ExecutedRequest,
+export function createStoredAnswer(
+  outcome: ExecutionResult,
   run: RequestRun,
 ): StoredAnswer {
   if (outcome.kind === "answer") return outcome.answer;
@@ -41,8 +41,8 @@
 }
 
 /** What an outcome says about how much of its class may be admitted. */
-export function describeEnd(
-  outcome: ExecutedRequest,
+export function classifyForAdmission(
+  outcome: ExecutionResult,
   { run, budget }: { run: RequestRun; budget: Millis },
 ): AdmittedEnd {
   const left = run.deadline.remaining();
@@ -52,13 +52,14 @@
       : { kind: "missed" };
   }
   const { kind } = outcome.failure;
-  const isMissed = kind === "deadline_exceeded" || kind === "overloaded";
-  return { kind: isMissed ? "missed" : "other" };
+  const isDeadlineMissed = kind === "deadline_exceeded" ||
+    kind === "overloaded";
+  return { kind: isDeadlineMissed ? "missed" : "other" };
 }
 
 /** How an outcome counts for attainment. */
 export function classifyOutcome(
-  outcome: ExecutedRequest,
+  outcome: ExecutionResult,
   deadline: Deadline,
 ): RequestOutcome {
   if (outcome.kind === "answer" || outcome.kind === "streamed") {
@@ -72,17 +73,17 @@
  * idempotent request leaves no record elsewhere, so only a caller's word that
  * this is the first attempt makes `not_run` certain.
  */
-export function weaken(failure: Failure, head: RequestHead): Failure {
+export function weakenVerdict(failure: Failure, head: RequestHead): Failure {
   if (failure.verdict !== "not_run" || head.isFirstAttempt) return failure;
   return { ...failure, verdict: "may_have_run" };
 }
 
 /** Weakens the verdict of an idempotent request that was sent before. */
 export function weakenOutcome(
-  outcome: ExecutedRequest,
+  outcome: ExecutionResult,
   head: RequestHead,
-): ExecutedRequest {
+): ExecutionResult {
   // The guard knows all attempts of a non-idempotent request.
   if (!("failure" in outcome) || !head.isIdempotent) return outcome;
-  return { ...outcome, failure: weaken(outcome.failure, head) };
+  return { ...outcome, failure: weakenVerdict(outcome.failure, head) };
 }
--- a/packages/entry/src/request_run.ts
+++ b/packages/entry/src/request_run.ts
@@ -29,7 +29,7 @@
   /** Costs of the attempts whose results were used. */
   readonly costs: StageCost[];
   /** Makes the verdict weaker, never stronger. */
-  noteVerdict(verdict: Verdict): void;
+  recordVerdict(verdict: Verdict): void;
 }
 
 /** Options of {@linkcode createRequestRun}. */
@@ -48,7 +48,7 @@
       return verdict;
     },
     costs: [],
-    noteVerdict(next) {
+    recordVerdict(next) {
       verdict = combineVerdicts(verdict, next);
     },
   };
--- a/packages/entry/src/resume_token.ts
+++ b/packages/entry/src/resume_token.ts
@@ -45,7 +45,7 @@
 
 const MAX_TOKEN_LENGTH = 2_048;
 /** Entries' clocks may differ by this much. */
-const CLOCK_DIFFERENCE: Millis = 2_000;
+const MAX_CLOCK_SKEW: Millis = 2_000;
 
 /** Creates the tokens of a site. */
 export function createResumeTokens(
@@ -75,7 +75,7 @@
     const text = Buffer.from(payload, "base64url").toString();
     const content = contentSchema.safeParse(parseJson(text));
     if (!content.success || content.data.account !== account) return undefined;
-    const isExpired = clock.now() > content.data.expiresAt + CLOCK_DIFFERENCE;
+    const isExpired = clock.now() > content.data.expiresAt + MAX_CLOCK_SKEW;
     return isExpired ? undefined : content.data;
   }
 
--- a/packages/entry/src/second_attempts.ts
+++ b/packages/entry/src/second_attempts.ts
@@ -12,14 +12,14 @@
 const HEDGE_FACTOR = 3;
 const MIN_HEDGE_DELAY: Millis = 100;
 /** The baselines give up an attempt after this time and try again. */
-const PLAIN_ATTEMPT_TIMEOUT: Millis = 2_000;
+const BASELINE_ATTEMPT_TIMEOUT: Millis = 2_000;
 
 /** Creates the policy of an entry. */
 export function createSecondAttemptPolicy(
   policy: EntrySettings["policy"],
   { budget }: { budget: RetryBudget },
 ): SecondAttemptPolicy {
-  if (policy !== "mangoreach") return createPlainRetries();
+  if (policy !== "mangoreach") return createBaselinePolicy();
   return {
     budget,
     computeHedgeDelay: (pool, size) =>
@@ -29,10 +29,10 @@
 }
 
 /** Retries without a budget, as the baselines make them. */
-function createPlainRetries(): SecondAttemptPolicy {
+function createBaselinePolicy(): SecondAttemptPolicy {
   return {
     budget: { balance: Infinity, deposit() {}, withdraw: () => true },
     computeHedgeDelay: () => undefined,
-    attemptTimeout: PLAIN_ATTEMPT_TIMEOUT,
+    attemptTimeout: BASELINE_ATTEMPT_TIMEOUT,
   };
 }
--- a/packages/entry/src/service_runner.ts
+++ b/packages/entry/src/service_runner.ts
@@ -13,7 +13,7 @@
 import type { PoolSet } from "./pool_set.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
-import { createGivenUpFailure, runAttempts } from "./stage_attempts.ts";
+import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
 /** A service call that was admitted. */
 export interface ServiceTask {
@@ -63,7 +63,7 @@
         reserve: 0,
       },
       policy,
-      keepsPermit: false,
+      retainsPermit: false,
       send: async ({ endpoint, number, signal }) => {
         const subject = {
           request: run.id,
@@ -96,7 +96,7 @@
       .map(({ value }) => value)
       .mapErr((failure) =>
         run.deadline.signal.aborted
-          ? createGivenUpFailure(run)
+          ? createAbortedFailure(run)
           : { ...failure, verdict: run.verdict }
       );
   }
--- a/packages/entry/src/stage_attempts.ts
+++ b/packages/entry/src/stage_attempts.ts
@@ -51,7 +51,7 @@
   /** The number of the first attempt. */
   firstNumber?: number;
   /** Whether the permit stays with the result, which goes on at the endpoint. */
-  keepsPermit: boolean;
+  retainsPermit: boolean;
   send(attempt: StageAttempt): Promise<Result<T, Failure>>;
   onWasted(duration: Millis): void;
 }
@@ -93,13 +93,13 @@
 ): Promise<Result<StageSuccess<T>, Failure>> {
   const { pool, work, run, policy, metrics } = options;
   const running = new Set<RunningAttempt<T>>();
-  const avoid: EndpointInfo[] = [];
+  const excluded: EndpointInfo[] = [];
   const firstNumber = options.firstNumber ?? 1;
   let number = firstNumber;
   policy.budget.deposit();
 
   function launch(permit: Permit): void {
-    avoid.push(permit.endpoint);
+    excluded.push(permit.endpoint);
     running.add(startAttempt(options, { permit, number: number++ }));
   }
 
@@ -111,7 +111,7 @@
     const event = await waitForEvent(options, running, number - firstNumber);
     if (event.kind === "hedge_due") {
       const permit = run.isIdempotent && policy.budget.balance >= 1
-        ? pool.tryAcquire(work, avoid)
+        ? pool.tryAcquire(work, excluded)
         : undefined;
       markHedged(running);
       if (permit === undefined || !policy.budget.withdraw()) {
@@ -125,7 +125,7 @@
     const { attempt, result } = event;
     running.delete(attempt);
     if (result.isOk) {
-      for (const loser of running) abandonAttempt(loser, options);
+      for (const slower of running) abandonAttempt(slower, options);
       return Result.ok(
         acceptAttempt(attempt, { options, value: result.value }),
       );
@@ -134,8 +134,8 @@
     if (running.size > 0) continue;
     const next = await acquireRetry(result.error, {
       options,
-      avoid,
-      made: number - firstNumber,
+      excluded,
+      attemptCount: number - firstNumber,
     });
     if (next === undefined) return Result.err(result.error);
     metrics.countSecondAttempt("retry");
@@ -177,13 +177,14 @@
 async function waitForEvent<T>(
   { clock, pool, work, policy }: StageAttemptsOptions<T>,
   running: ReadonlySet<RunningAttempt<T>>,
-  made: number,
+  attemptCount: number,
 ): Promise<EndedAttempt<T> | HedgeDue> {
   const [newest] = [...running].slice(-1);
   const ended = [...running].map((attempt) => attempt.ended);
-  const delay = newest === undefined || newest.isHedged || made >= MAX_ATTEMPTS
-    ? undefined
-    : policy.computeHedgeDelay(pool, work.size);
+  const delay =
+    newest === undefined || newest.isHedged || attemptCount >= MAX_ATTEMPTS
+      ? undefined
+      : policy.computeHedgeDelay(pool, work.size);
   if (delay === undefined) return await Promise.race(ended);
   let stopTimer = () => {};
   const hedge = new Promise<HedgeDue>((resolve) => {
@@ -202,11 +203,11 @@
   { permit, number, startedAt }: RunningAttempt<T>,
   { options, value }: { options: StageAttemptsOptions<T>; value: T },
 ): StageSuccess<T> {
-  const { clock, run, poolName, keepsPermit } = options;
+  const { clock, run, poolName, retainsPermit: retainsPermit } = options;
   const duration = clock.now() - startedAt;
-  run.noteVerdict("may_have_run");
+  run.recordVerdict("may_have_run");
   permit.recordLatency(duration);
-  if (!keepsPermit) {
+  if (!retainsPermit) {
     run.costs.push({ pool: poolName, duration });
     permit.release("done");
   }
@@ -218,7 +219,7 @@
   { run, clock, onWasted }: StageAttemptsOptions<T>,
 ): void {
   // Its result may still arrive; nobody waits for it any more.
-  run.noteVerdict("may_have_run");
+  run.recordVerdict("may_have_run");
   attempt.controller.abort();
   onWasted(clock.now() - attempt.startedAt);
   attempt.permit.release(attempt.isHedged ? "too_slow" : "abandoned");
@@ -229,18 +230,18 @@
   { options, failure }: { options: StageAttemptsOptions<T>; failure: Failure },
 ): void {
   const { run, clock, onWasted } = options;
-  run.noteVerdict(failure.verdict);
+  run.recordVerdict(failure.verdict);
   if (failure.verdict !== "not_run") onWasted(clock.now() - startedAt);
   // An attempt that the request's own end cut short says nothing about its
   // endpoint: under overload every endpoint would look slow and be ejected.
-  const isOurs = run.deadline.signal.aborted;
+  const isRequestAborted = run.deadline.signal.aborted;
   permit.release(
-    isOurs ? "abandoned" : classifyEnd(failure),
+    isRequestAborted ? "abandoned" : classifyAttempt(failure),
     failure.retryAfterMs,
   );
 }
 
-function classifyEnd({ kind, verdict }: Failure): AttemptEnd {
+function classifyAttempt({ kind, verdict }: Failure): AttemptEnd {
   switch (kind) {
     case "unavailable":
       return verdict === "not_run" ? "unreachable" : "failing";
@@ -257,30 +258,31 @@
 
 async function acquireRetry<T>(
   failure: Failure,
-  { options, avoid, made }: {
+  { options, excluded, attemptCount }: {
     options: StageAttemptsOptions<T>;
-    avoid: readonly EndpointInfo[];
-    made: number;
+    excluded: readonly EndpointInfo[];
+    attemptCount: number;
   },
 ): Promise<Permit | undefined> {
   const { run, pool, work, policy } = options;
   const mayRepeat = run.isIdempotent || failure.verdict === "not_run";
-  if (!mayRepeat || made >= MAX_ATTEMPTS) return undefined;
+  if (!mayRepeat || attemptCount >= MAX_ATTEMPTS) return undefined;
   if (run.deadline.signal.aborted) return undefined;
   // A call that never ran cost the endpoints nothing and needs no budget.
-  const isFree = failure.verdict === "not_run" && failure.kind !== "overloaded";
-  if (!isFree && !policy.budget.withdraw()) return undefined;
-  const other = pool.tryAcquire(work, avoid);
+  const isBudgetExempt = failure.verdict === "not_run" &&
+    failure.kind !== "overloaded";
+  if (!isBudgetExempt && !policy.budget.withdraw()) return undefined;
+  const other = pool.tryAcquire(work, excluded);
   if (other !== undefined) return other;
   const any = await pool.acquire(work);
   return any.isOk ? any.value : undefined;
 }
 
 /** Creates the failure of a request whose deadline passed or that was left. */
-export function createGivenUpFailure(run: RequestRun): Failure {
-  const isLeft = run.deadline.signal.reason === "caller_gone";
-  return createFailure(isLeft ? "cancelled" : "deadline_exceeded", {
+export function createAbortedFailure(run: RequestRun): Failure {
+  const isCallerGone = run.deadline.signal.reason === "caller_gone";
+  return createFailure(isCallerGone ? "cancelled" : "deadline_exceeded", {
     verdict: run.verdict,
-    message: isLeft ? "the caller went away" : "the deadline passed",
+    message: isCallerGone ? "the caller went away" : "the deadline passed",
   });
 }
--- a/packages/entry/src/stream_handler.ts
+++ b/packages/entry/src/stream_handler.ts
@@ -59,9 +59,9 @@
       endpoint: content.endpointId,
     });
     const controller = new AbortController();
-    const giveUp = () => controller.abort();
-    const stopTimer = clock.startTimer(content.expiresAt - clock.now(), giveUp);
-    response.once("close", giveUp);
+    const abort = () => controller.abort();
+    const stopTimer = clock.startTimer(content.expiresAt - clock.now(), abort);
+    response.once("close", abort);
     await resumeStream(exchange, {
       content,
       next: Number(next),
