--- a/packages/entry/src/caller_answer.ts
+++ b/packages/entry/src/caller_answer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes answers to callers: whole ones as JSON, streamed ones as server-sent
- * events.
+ * Sends answers to callers: buffered answers as JSON, streamed answers as
+ * server-sent events.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 
 const JSON_TYPE = "application/json";
 
-/** The answer for a failure, as sent and as remembered. */
+/** Creates the answer for a failure, as it is sent and stored. */
 export function createFailureAnswer(failure: Failure): StoredAnswer {
   return {
     status: FAILURE_STATUS[failure.kind],
@@ -26,7 +26,7 @@
   };
 }
 
-/** The answer for a JSON value. */
+/** Creates the answer for a JSON value. */
 export function createJsonAnswer(value: unknown): StoredAnswer {
   return {
     status: 200,
@@ -42,7 +42,7 @@
   retryAfterMs?: number | undefined;
 }
 
-/** Sends a whole answer; false when the caller is gone. */
+/** Sends a buffered answer; false when the caller has disconnected. */
 export function sendAnswer(
   response: ServerResponse,
   { status, contentType, verdict, body }: StoredAnswer,
@@ -66,17 +66,17 @@
 /** A streamed answer in progress. */
 export interface StreamAnswer {
   readonly hasStarted: boolean;
-  /** Opens the answer to a resume, which needs no start event. */
+  /** Sends the headers only, as a resumed stream has no start event. */
   open(): void;
-  /** Begins the stream, or begins it again when a generation was lost. */
+  /** Starts the stream, or restarts it after a generation failed. */
   start(resumeToken: string): void;
-  /** Sends tokens; false when the caller is gone or reads too slowly. */
+  /** Sends tokens; false when the caller has disconnected or reads too slowly. */
   send(tokens: readonly { sequence: number; text: string }[]): boolean;
   end(count: number): void;
   fail(failure: Failure): void;
 }
 
-/** A caller that leaves this much unread is cut off; it can resume. */
+/** A caller with more unread data is disconnected; it can resume the stream. */
 const MAX_UNREAD_BYTES = 1_048_576;
 
 /** Creates a streamed answer; nothing is sent before `start`. */
--- a/packages/entry/src/caller_listener.ts
+++ b/packages/entry/src/caller_listener.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' door: which path is answered by which part. Peers' and control
- * paths do not exist here; they are on another port.
+ * The callers' port: routes requests by path. The paths for peers and operators
+ * are on the control port only.
  *
  * @module
  */
@@ -43,12 +43,12 @@
   membership: Membership;
   requests: RequestHandler;
   streams: StreamHandler;
-  /** One task for each request, so that a stop can wait for them. */
+  /** The requests in progress, which a graceful shutdown waits for. */
   tasks: TaskSet;
 }
 
 const MAX_ADDRESSES = 4;
-/** A caller asks again after this share of the keeping time. */
+/** Callers refresh addresses after this share of their lifetime. */
 const ASK_AGAIN_SHARE = 0.7;
 const MAX_PATH_LENGTH = 4_096;
 
@@ -67,7 +67,7 @@
     const exchange = { request, response };
     tasks.add(
       route(exchange).catch((error) => {
-        // A fault of ours must not take the process down with other requests.
+        // An internal error must not end the process and its other requests.
         logger.error("A request failed unexpectedly.", {
           error: String(error),
         });
--- a/packages/entry/src/claim_service.ts
+++ b/packages/entry/src/claim_service.ts
@@ -1,7 +1,7 @@
 /**
  * Claims dated ids in the log before their requests are dispatched. Claims of
- * requests that arrive together share one append, because the log takes only
- * several hundred appends a second for the whole site.
+ * requests that arrive together share one append, because the log accepts only
+ * several hundred appends per second for the whole site.
  *
  * @module
  */
@@ -18,15 +18,15 @@
 import * as z from "zod";
 import type { EntryContext } from "./entry_context.ts";
 
-/** A request that wants to be claimed. */
+/** A request whose id is to be claimed. */
 export interface ClaimRequest extends RequestKey {
   issuedAt: Millis;
 }
 
-/** Claims for one entry. */
+/** Claims request ids for one entry. */
 export interface ClaimService {
   readonly table: ClaimTable;
-  /** Claims; `unknown` when the log did not decide before `signal` aborts. */
+  /** Claims an id; `unknown` if `signal` aborts before the log decides. */
   claim(request: ClaimRequest, signal: AbortSignal): Promise<ClaimOutcome>;
   readonly tasks: Promise<void>[];
 }
@@ -41,7 +41,7 @@
 
 const claimRecordSchema = z.object({ claims: z.array(claimSchema) });
 
-/** How long claims wait for company. */
+/** How long claims are collected for one append. */
 const BATCH_WINDOW: Millis = 10;
 const MAX_BATCH_SIZE = 500;
 
@@ -62,7 +62,7 @@
     if (event.kind !== "record") return;
     const record = claimRecordSchema.safeParse(event.record.value);
     if (!record.success) {
-      logger.warn("Passed over a malformed claim.", {
+      logger.warn("Skipped a malformed claim record.", {
         offset: event.record.offset,
       });
       return;
@@ -75,18 +75,18 @@
     signal: AbortSignal,
   ): Promise<ClaimOutcome> {
     const claimId = context.createUniqueText();
-    const mine: Claim = { account, id, claimId, incarnation, issuedAt };
-    addToBatch(mine);
+    const ownClaim: Claim = { account, id, claimId, incarnation, issuedAt };
+    addToBatch(ownClaim);
     timeline.record("claim_appended", { request: id });
-    const outcome = await table.waitFor(mine, signal);
+    const outcome = await table.waitFor(ownClaim, signal);
     if (outcome.kind === "lost") {
       timeline.record("claim_lost", { request: id, detail: outcome.holder });
     }
     return outcome;
   }
 
-  function addToBatch(mine: Claim): void {
-    batch.push(mine);
+  function addToBatch(ownClaim: Claim): void {
+    batch.push(ownClaim);
     if (batch.length === 1) clock.startTimer(BATCH_WINDOW, sendBatch);
     if (batch.length >= MAX_BATCH_SIZE) sendBatch();
   }
@@ -95,11 +95,13 @@
     if (batch.length === 0) return;
     const claims = batch;
     batch = [];
-    // The answer is not needed: the tail tells who was first, also when the
-    // answer was lost after the append took effect.
+    // The acknowledgement is not needed: the log tail shows which claim was first,
+    // even if the acknowledgement was lost after the append took effect.
     void log.append("claims", { claims }).then((ack) => {
       if (ack.isErr) {
-        logger.warn("No answer to claims.", { reason: ack.error.message });
+        logger.warn("Append of claims was not acknowledged.", {
+          reason: ack.error.message,
+        });
       }
     });
   }
--- a/packages/entry/src/config_follower.ts
+++ b/packages/entry/src/config_follower.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the configuration in force: follows the log, takes a newer one from
- * peers, and copies it forward in the log before it expires there.
+ * Tracks the configuration in force: follows the log, accepts newer versions
+ * from peers, and republishes the configuration in the log before its record
+ * expires.
  *
  * @module
  */
@@ -25,9 +26,9 @@
   readonly site: SiteConfig | undefined;
   readonly active: ActiveConfig | undefined;
   readonly isLogReachable: boolean;
-  /** Takes what a peer has in force, if it is newer. */
+  /** Applies a peer's configuration if it is newer. */
   adopt(config: ActiveConfig): void;
-  /** The tasks that follow the log and carry forward. */
+  /** The tasks that follow the log and republish the configuration. */
   readonly tasks: Promise<void>[];
 }
 
@@ -47,14 +48,14 @@
   const fold = createConfigFold<ConfigDocument>();
   let site: SiteConfig | undefined;
   let isLogReachable = false;
-  /** When the record that holds the version in force was last written. */
+  /** When the version in force was last written to the log. */
   let writtenAt: Millis = clock.now();
 
   function handleOutcome(outcome: FoldOutcome, author: string): void {
     const { inForce } = fold;
     if (outcome === "rejected") {
       timeline.record("config_rejected", { detail: author });
-      logger.warn("Rejected a conflicting publish.", { author });
+      logger.warn("Rejected a conflicting configuration.", { author });
     }
     if (inForce === undefined || inForce.version === site?.version) return;
     site = createSiteConfig(inForce);
@@ -67,7 +68,7 @@
   function applyRecord({ offset, time, value }: LogRecord): void {
     const record = parseConfigRecord(value);
     if (record === undefined) {
-      logger.warn("Passed over a malformed record.", { offset });
+      logger.warn("Skipped a malformed configuration record.", { offset });
       return;
     }
     handleOutcome(fold.apply(record, { offset }), record.author);
@@ -81,7 +82,11 @@
     if (event.kind === "trimmed") fold.startAt(event.first);
     if (event.kind === "record") applyRecord(event.record);
     if (wasReachable !== isLogReachable) {
-      logger.info(isLogReachable ? "The log is back." : "The log is away.");
+      logger.info(
+        isLogReachable
+          ? "The log is available again."
+          : "The log is unavailable.",
+      );
     }
   }
 
@@ -126,12 +131,12 @@
 }
 
 /**
- * Copies the configuration in force in the log before its record expires.
+ * Republishes the configuration in force before its record in the log expires.
  *
- * Failure guarded against: the log keeps records for a limited time, so an
- * entry that starts later would find no configuration. Every entry waits a
- * random time first and looks again, so that about one of them writes; a copy
- * that comes late or twice is ignored by every reader's fold.
+ * The log retains records for a limited time, so without a copy an entry that
+ * starts later would find no configuration. Each entry waits a random time and
+ * checks the age of the record again, so that usually only one entry writes.
+ * Readers ignore late and duplicate copies.
  */
 async function republishPeriodically(
   { clock, settings, random, signal, incarnation, logger }: EntryContext,
@@ -145,12 +150,15 @@
     const record = isDue ? createCopy(fold, incarnation) : undefined;
     if (record === undefined) continue;
     const ack = await log.append("config", record);
-    const outcome = ack.isOk ? "Carried forward." : "Could not carry forward.";
+    const outcome = ack.isOk ? "Republished." : "Could not republish.";
     logger.forPart("config").info(outcome, { version: fold.inForce?.version });
   }
 }
 
-/** A copy of what is in force; none by a reader that may have a gap. */
+/**
+ * Creates a copy of the configuration in force. Returns undefined when this entry
+ * may have missed records.
+ */
 function createCopy(
   fold: ConfigFold<ConfigDocument>,
   author: string,
--- a/packages/entry/src/credentials_check.ts
+++ b/packages/entry/src/credentials_check.ts
@@ -1,6 +1,5 @@
 /**
- * Checks keys in constant time, so that the time of an answer tells nothing
- * about a key.
+ * Checks keys in constant time, so that response times reveal nothing about them.
  *
  * @module
  */
@@ -9,7 +8,7 @@
 import type { IncomingMessage } from "node:http";
 import type { Credentials } from "@mangoreach/callers";
 
-/** Checks who sends. */
+/** Authenticates senders. */
 export interface CredentialsCheck {
   isAccount(credentials: Credentials): boolean;
   isPeer(request: IncomingMessage): boolean;
@@ -25,21 +24,24 @@
 
 const BEARER = "Bearer ";
 
-/** Creates the check. */
+/** Creates the credentials check of an entry. */
 export function createCredentialsCheck(
   { accounts, siteKey, operatorKey }: CredentialsCheckOptions,
 ): CredentialsCheck {
   const keys = new Map(
     accounts.map(({ name, key }) => [name, computeHash(key)]),
   );
-  // An unknown account is compared too: its answer takes as long as the others.
-  const noKey = computeHash("");
+  // An unknown account is compared too, so that its check takes the same time.
+  const placeholderHash = computeHash("");
   const siteHash = computeHash(siteKey);
   const operatorHash = computeHash(operatorKey);
   return {
     isAccount({ account, key }) {
       const expected = keys.get(account);
-      const isEqual = timingSafeEqual(computeHash(key), expected ?? noKey);
+      const isEqual = timingSafeEqual(
+        computeHash(key),
+        expected ?? placeholderHash,
+      );
       return isEqual && expected !== undefined;
     },
     isPeer: (request) => hasBearer(request, siteHash),
--- a/packages/entry/src/endpoint_watch.ts
+++ b/packages/entry/src/endpoint_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the endpoints: follows the instance list, and reads load reports and
- * cache events of each engine in a task of its own.
+ * Watches the endpoints: follows the instance list, and polls the load reports
+ * and cache events of each engine in a separate task.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import type { EntryContext } from "./entry_context.ts";
 import type { PoolSet } from "./pool_set.ts";
 
-/** What the watch works on. */
+/** Options of {@linkcode startEndpointWatch}. */
 export interface EndpointWatchOptions {
   instanceList: InstanceListClient;
   engines: EngineClient;
@@ -27,30 +27,30 @@
   directory: EndpointDirectory;
   pools: PoolSet;
   affinity: PrefixAffinity;
-  /** Whether a pool is one of model engines. */
+  /** Whether a pool consists of model engines. */
   isEnginePool: (pool: string) => boolean;
-  /** Whether an engine has asked to be sent less, and is left alone. */
+  /** Whether an engine has asked for fewer requests; it is then not polled. */
   isThrottled: (endpoint: EndpointInfo) => boolean;
-  /** Told the control addresses of entries in the list. */
+  /** Called with the entries in the instance list, for their control addresses. */
   onEntries: (entries: readonly EndpointInfo[]) => void;
 }
 
 /** A running watch. */
 export interface EndpointWatch {
-  /** Marks an endpoint that said itself, or to a peer, that it is leaving. */
+  /** Marks an endpoint as leaving, as it reported here or to a peer. */
   markLeaving(endpointKey: string, evidence: LeavingGround): void;
-  /** Whether an engine holds a model, or nothing is known of it yet. */
+  /** Whether an engine has a model loaded; true if its models are unknown. */
   hasModel(endpoint: EndpointInfo, model: string): boolean;
   readonly tasks: Promise<void>[];
 }
 
-/** Pools are refreshed this often, so that expired marks heal. */
+/** Time between pool refreshes, which also drop expired leaving marks. */
 const REFRESH_INTERVAL: Millis = 250;
-/** What engines hold is read with every so many load reports. */
+/** Load reports per reading of an engine's loaded models. */
 const LOADS_PER_STATE_READ = 3;
-/** Cache events are read with every so many load reports. */
+/** Load reports per reading of an engine's cache events. */
 const LOADS_PER_EVENT_READ = 4;
-/** Load reports read a second at most, however many engines there are. */
+/** Maximum load reports read per second, regardless of the number of engines. */
 const MAX_LOAD_READS_PER_SECOND = 4;
 
 /** Starts to watch the endpoints. */
@@ -61,11 +61,11 @@
   const { clock, settings, random, signal, timeline } = context;
   const { directory, pools, instanceList } = options;
   const logger = context.logger.forPart("endpoints");
-  /** Models that an engine held when it was last asked. */
+  /** Models that each engine had loaded when it was last polled. */
   const loadedModels = new Map<string, ReadonlySet<string>>();
   const watched = new Map<string, AbortController>();
   const tasks = createTaskSet((error) =>
-    logger.error("Reading load failed.", { error: String(error) })
+    logger.error("Polling an engine failed.", { error: String(error) })
   );
   let isListDown = false;
 
@@ -82,7 +82,7 @@
     pools.refresh();
   }
 
-  /** Starts and ends the reading tasks as engines come and go. */
+  /** Starts and stops polling tasks as engines are added and removed. */
   function updateWatched(): void {
     const engines = directory.listAll()
       .filter(({ pool }) => options.isEnginePool(pool));
@@ -138,7 +138,7 @@
     return loadedModels.get(formatEndpointKey(endpoint))?.has(model) ?? true;
   }
 
-  /** Grows with the engines, so that the cost of reading does not. */
+  /** The interval grows with the number of engines to bound the polling rate. */
   function computeInterval(): Millis {
     const bounded = watched.size * 1_000 / MAX_LOAD_READS_PER_SECOND;
     return Math.max(settings.timing.loadReportMs, bounded);
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,5 +1,5 @@
 /**
- * Wires the parts of an entry together, starts and stops it.
+ * Creates the components of an entry, and starts and stops it.
  *
  * @module
  */
@@ -64,12 +64,12 @@
   readonly controlAddress: string;
   readonly status: EntryStatus;
   /**
-   * Stops gracefully: leaves the address answers, serves callers with old
-   * answers for a while, finishes what is in progress. Resolves with the number
-   * of requests that were cut off.
+   * Stops gracefully: is no longer listed in address responses, serves callers
+   * with older address lists for a while, and finishes requests in progress.
+   * Resolves with the number of requests that were cut off.
    */
   stop(): Promise<number>;
-  /** Cuts off whatever is in progress. */
+  /** Stops immediately and cuts off requests in progress. */
   kill(): void;
 }
 
@@ -80,7 +80,7 @@
   logger: Logger;
   random: () => number;
   createUniqueText: () => string;
-  /** Told when an operator asks over the control port to drain. */
+  /** Called when an operator requests a drain over the control port. */
   onDrain: () => void;
 }
 
@@ -203,7 +203,8 @@
     maxHeaderBytes: settings.limits.maxHeaderBytes,
     requestTimeoutMs: settings.limits.requestTimeoutMs,
   };
-  // Callers with an old address may come before the parts below are wired.
+  // Callers that already know the address may connect before the components
+  // below exist.
   let handleCallerRequest = refuseWhileStarting;
   let handleControlRequest = refuseWhileStarting;
   const callerServer = await startServer(
@@ -286,7 +287,7 @@
     });
   }
   timeline.record("process_started", { detail: incarnation });
-  entryLogger.info("Started.", {
+  entryLogger.info("Entry started.", {
     callers: readServerAddress(callerServer),
     control: readServerAddress(controlServer),
     incarnation,
@@ -322,10 +323,10 @@
   async function stop(): Promise<number> {
     phase = "leaving";
     timeline.record("process_stopping");
-    entryLogger.info("Leaving: not named to callers any more.");
+    entryLogger.info("Leaving; no longer listed in address responses.");
     membership.beat({ state: "leaving" });
     await exchange.notifyPeers();
-    // Callers keep an old address answer for a while; they are still served.
+    // Callers cache address lists for a while, so they are still served.
     await clock.sleep(settings.timing.drainMs, shutdown.signal);
     phase = "stopping";
     await waitForRequests();
@@ -333,7 +334,7 @@
     timeline.record("process_stopped", { detail: `${cutOffCount} cut off` });
     kill();
     await clients.close();
-    entryLogger.info("Stopped.", { cutOff: cutOffCount });
+    entryLogger.info("Entry stopped.", { cutOff: cutOffCount });
     return cutOffCount;
   }
 
@@ -377,7 +378,10 @@
   message: "this entry is starting",
 });
 
-/** One second attempt for twenty stages, and a few in hand for a quiet entry. */
+/**
+ * One second attempt per twenty stages, with a small reserve for an entry with
+ * little traffic.
+ */
 const RETRY_BUDGET = { share: 0.05, max: 4 };
 
 function createContext(
--- a/packages/entry/src/entry_context.ts
+++ b/packages/entry/src/entry_context.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of an entry share.
+ * The context shared by the components of an entry.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { EntryMetrics } from "./entry_metrics.ts";
 import type { EntrySettings } from "./entry_settings.ts";
 
-/** What the parts of an entry share. */
+/** The context shared by the components of an entry. */
 export interface EntryContext {
   settings: EntrySettings;
   clock: Clock;
@@ -16,10 +16,10 @@
   metrics: EntryMetrics;
   /** Returns a number from 0 up to 1. */
   random: () => number;
-  /** Returns a text that no process has used before. */
+  /** Creates a globally unique string. */
   createUniqueText: () => string;
   /** Changes with every start of the process. */
   incarnation: string;
-  /** Aborts when the entry ends; background tasks stop then. */
+  /** Aborts when the entry stops, which ends its background tasks. */
   signal: AbortSignal;
 }
--- a/packages/entry/src/entry_metrics.ts
+++ b/packages/entry/src/entry_metrics.ts
@@ -1,13 +1,13 @@
 /**
- * The metrics of one entry, by prom-client. docs/operators/metrics.md explains
- * each.
+ * The metrics of one entry, collected with prom-client. docs/operators/metrics.md
+ * describes them.
  *
  * @module
  */
 import type { RequestOutcome } from "@mangoreach/coordination";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Where an entry counts. */
+/** Records the metrics of an entry. */
 export interface EntryMetrics {
   readonly registry: Registry;
   countRequest(className: string, outcome: RequestOutcome): void;
--- a/packages/entry/src/entry_settings.ts
+++ b/packages/entry/src/entry_settings.ts
@@ -110,7 +110,7 @@
 /** The settings of one entry. */
 export type EntrySettings = z.infer<typeof settingsShape>;
 
-/** The schema, with the checks across its parts. */
+/** The schema, including checks that span several settings. */
 export const entrySettingsSchema: z.ZodType<EntrySettings> = settingsShape
   .superRefine(checkCombinations);
 
@@ -146,7 +146,7 @@
   });
 }
 
-/** Reads and checks settings. */
+/** Parses and validates settings. */
 export function parseEntrySettings(
   source: SettingsSource,
 ): Result<EntrySettings, SettingsFault[]> {
--- a/packages/entry/src/entry_settings_test.ts
+++ b/packages/entry/src/entry_settings_test.ts
@@ -23,7 +23,7 @@
 }
 
 describe("entry settings", () => {
-  it("fills in what may be left out", () => {
+  it("applies defaults to omitted settings", () => {
     const settings = parseEntrySettings({
       file: "entry.jsonc",
       text: JSON.stringify(GOOD),
@@ -63,30 +63,30 @@
       says: "a key other than siteKey",
     },
     {
-      name: "one port for both",
+      name: "the same address for both ports",
       change: { controlAddress: GOOD.callerAddress },
       says: "other than callerAddress",
     },
     {
-      name: "a lost before a suspected peer",
+      name: "a loss time-out below the suspicion time-out",
       change: { timing: { loseMs: 4_000 } },
       says: "more than timing.suspectMs",
     },
     {
-      name: "an account twice",
+      name: "a duplicate account",
       change: { accounts: [GOOD.accounts[0], GOOD.accounts[0]] },
       says: "no other account has",
     },
   ];
   for (const { name, change, says } of FAULTS) {
-    it(`stops the start at ${name}`, () => {
+    it(`reports ${name}`, () => {
       const faults = readFaults(change);
       expect(faults.join("\n")).to.contain(says);
       expect(faults[0]).to.match(/^entry\.jsonc:1:\d+: /);
     });
   }
 
-  it("reports all faults at once, in the order of the file", () => {
+  it("reports all errors at once, in the order of the file", () => {
     const text = '{\n  // a comment\n  "entry": 5,\n  "plce": "x",\n}';
     const settings = parseEntrySettings({ file: "e", text });
     const faults = settings.isErr ? settings.error : [];
@@ -95,7 +95,7 @@
     expect(lines).to.deep.equal([...lines].sort((a, b) => a - b));
   });
 
-  it("points at broken syntax", () => {
+  it("reports the position of a syntax error", () => {
     const settings = parseEntrySettings({ file: "e", text: '{\n"a": }' });
     expect(settings.isErr && settings.error[0]).to.include({
       line: 2,
--- a/packages/entry/src/generation_runner.ts
+++ b/packages/entry/src/generation_runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a generation: the first token with hedges, then the stream, resumed at
- * the engine when the connection breaks, and begun again at another engine when
- * the engine is gone.
+ * Runs a generation: hedges until the first token arrives, then follows the
+ * stream. A broken connection is resumed at the same engine; if the engine has
+ * failed, the generation restarts at another engine.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 import type { SecondAttemptPolicy, StageAttempt } from "./stage_attempts.ts";
 import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
-/** What is generated. */
+/** A generation to run. */
 export interface GenerationTask {
   run: RequestRun;
   stage: string;
@@ -31,18 +31,21 @@
   prompt: string;
   prefix: string;
   maxTokens: number;
-  /** Time that later stages need. */
+  /** Time reserved for later stages. */
   reservedTime: number;
   affinity: NonNullable<RoutingRequest["affinity"]> | undefined;
-  /** Where tokens go as they come. */
+  /** Receives the tokens as they arrive. */
   sink: TokenSink;
-  /** Whether the caller may resume, so the engine must outlive a lost reader. */
+  /**
+   * Whether the caller may resume the stream, so that the engine must continue for
+   * a while after it loses its reader.
+   */
   isResumable: boolean;
 }
 
-/** Takes the tokens of a generation. */
+/** Receives the tokens of a generation. */
 export interface TokenSink {
-  /** A generation begins; tokens taken before belong to one that is lost. */
+  /** Starts a generation; earlier tokens belong to a failed one. */
   start(generation: StartedGeneration): void;
   write(tokens: readonly Token[]): void;
 }
@@ -53,11 +56,11 @@
   streamId: string;
 }
 
-/** What {@linkcode runGeneration} works with. */
+/** Dependencies of {@linkcode runGeneration}. */
 export interface GenerationTools {
   engines: EngineClient;
   policy: SecondAttemptPolicy;
-  /** Time from the first token to the last, by token limit. */
+  /** Model of the time from the first token to the last, by token limit. */
   decodeTimes: LatencyModel;
   onSent: (permit: Permit["endpoint"], prefix: string) => void;
   onWasted: (pool: string, duration: number) => void;
@@ -66,7 +69,7 @@
 interface OpenedGeneration {
   events: AsyncGenerator<GenerationEvent>;
   streamId: string;
-  /** Whatever arrived with the first tokens. */
+  /** The first event after `start`. */
   first: GenerationEvent;
   controller: AbortController;
 }
@@ -147,7 +150,8 @@
 ): Promise<Result<OpenedGeneration, Failure>> {
   const { run, stage } = task;
   const { endpoint, signal } = attempt;
-  // Outlives the attempt: once opened, only the request's end stops it.
+  // Separate from the attempt's signal: once the stream is open, only the end of
+  // the request aborts it.
   const controller = new AbortController();
   const abort = () => controller.abort();
   signal.addEventListener("abort", abort, { once: true });
@@ -174,8 +178,8 @@
   const first = await readFirstEvent(events);
   signal.removeEventListener("abort", abort);
   if (first.event.kind === "broken") {
-    // An engine goes on for a while without a reader, so that a stream can be
-    // resumed. Nobody can resume this one: it would hold a slot for nobody.
+    // Engines continue for a while without a reader, so that streams can be
+    // resumed. This one is not resumed, so cancelling it frees its slot.
     if (first.streamId !== undefined) {
       void tools.engines.cancel(endpoint, first.streamId);
     }
@@ -216,7 +220,7 @@
   resumes: number;
 }
 
-/** Hands on the tokens of an opened generation until its end. */
+/** Forwards the tokens of an opened generation until it ends. */
 async function followGeneration(
   context: EntryContext,
   { task, tools, opened }: {
--- a/packages/entry/src/lease_manager.ts
+++ b/packages/entry/src/lease_manager.ts
@@ -1,5 +1,5 @@
 /**
- * Takes and keeps leases in the log for this entry.
+ * Acquires and renews leases in the log for this entry.
  *
  * @module
  */
@@ -14,11 +14,11 @@
 /** The leases of one entry. */
 export interface LeaseManager {
   /**
-   * Takes or renews a lease if that can be had; the lease while it is valid.
-   * Called again and again by whoever needs it.
+   * Acquires or renews a lease and returns it while it is valid; undefined when
+   * another entry holds it. The user of a lease calls this repeatedly.
    */
   keep(resource: string): Promise<HeldLease | undefined>;
-  /** Gives a lease up, because an engine knows a later holder. */
+  /** Drops a lease, such as when an engine reports a later holder. */
   drop(resource: string): void;
   readonly tasks: Promise<void>[];
 }
@@ -37,9 +37,9 @@
   fence: z.number().int().optional(),
 });
 
-/** A lease is renewed after this share of its duration. */
+/** Share of the lease duration after which it is renewed. */
 const RENEW_SHARE = 1 / 3;
-/** The end of a lease that is not used, for the way of an order. */
+/** Unused end of a lease, so that orders in transit arrive within it. */
 const MARGIN_SHARE = 0.2;
 const CONFIRM_TIMEOUT: Millis = 2_000;
 const CONFIRM_POLL_INTERVAL: Millis = 10;
@@ -53,7 +53,7 @@
   const duration = settings.timing.leaseMs;
   const table = createLeaseTable();
   const ownLeases = new Map<string, OwnLease>();
-  /** When a grant or renewal of a resource was last read, by this clock. */
+  /** Local time at which a grant or renewal of a resource was last read. */
   const lastExtendedAt = new Map<string, Millis>();
 
   function handleEvent(event: TailEvent): void {
@@ -83,7 +83,7 @@
     return isHeldByOther(resource) ? undefined : await acquire(resource);
   }
 
-  /** By this clock; the log decides in the end. */
+  /** An estimate by the local clock; the log order is decisive. */
   function isHeldByOther(resource: string): boolean {
     const lastSeen = lastExtendedAt.get(resource);
     return lastSeen !== undefined && clock.now() - lastSeen < duration;
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -19,7 +19,7 @@
 const VERSION = "0.1.0";
 const USAGE = `Usage: mangoreach-entry --settings FILE [--check]
 
-Starts an entry: the door for callers of a mangoreach site.
+Starts an entry, which accepts the requests of a mangoreach site's callers.
 
   --settings FILE  settings, JSON with comments
   --check          check the settings and exit
@@ -34,7 +34,7 @@
 const EXIT_USAGE = 2;
 const UNIQUE_BYTES = 8;
 
-/** Reads the command line; undefined when the program is done already. */
+/** Reads the command line; undefined when there is nothing to start. */
 function readCommandLine(): EntrySettings | undefined {
   const { values } = parseArgs({
     options: {
@@ -86,9 +86,12 @@
 
   async function stop(): Promise<void> {
     if (isStopping) {
-      // The second signal: whoever sent it does not want to wait.
+      // A second signal skips the graceful shutdown.
       const cutOff = entry.status.inProgress;
-      logger.forPart("entry").warn("Stopped at once.", { cutOff });
+      logger.forPart("entry").warn(
+        "Entry stopped without waiting for requests.",
+        { cutOff },
+      );
       entry.kill();
       process.exit(cutOff === 0 ? 0 : EXIT_FAILED);
     }
--- a/packages/entry/src/mod.ts
+++ b/packages/entry/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The entry, for tests and for programs that embed it whole.
+ * The entry, for tests and for programs that embed it.
  *
  * @module
  */
--- a/packages/entry/src/once_guard.ts
+++ b/packages/entry/src/once_guard.ts
@@ -1,7 +1,7 @@
 /**
- * Sees to it that a non-idempotent request runs at most once, over retries at
- * other entries, frozen and dead entries, lost answers and a log that is away.
- * docs/design/at_most_once.md weighs the ways.
+ * Ensures that a non-idempotent request runs at most once, despite retries at
+ * other entries, frozen or crashed entries, lost responses and an unavailable
+ * log. docs/design/at_most_once.md compares the alternatives.
  *
  * @module
  */
@@ -24,30 +24,33 @@
 import type { EntrySettings } from "./entry_settings.ts";
 import { failMalformed } from "./request_head.ts";
 
-/** What may be done with a request. */
+/** Whether a request may run, or already has an answer. */
 export type GuardDecision =
   /** It may run here, once; the run must be finished or abandoned. */
   | { kind: "run"; run: OwnedRun<StoredAnswer> }
-  /** It ran or was refused before; this was the answer. */
+  /** It already ran or was refused; this is the stored answer. */
   | { kind: "answered"; answer: StoredAnswer };
 
-/** A non-idempotent request. */
+/** A non-idempotent request, as the guard sees it. */
 export interface GuardedRequest {
   account: string;
   id: RequestId;
   isFirstAttempt: boolean;
-  /** Aborts when the request is given up. */
+  /** Aborts when the deadline passes or the request is cancelled. */
   signal: AbortSignal;
   remaining: Millis;
 }
 
-/** Asks the entry with an incarnation; undefined when it cannot be asked. */
+/**
+ * Queries the entry with the given incarnation for the outcome of a request.
+ * Returns undefined when that entry cannot be reached.
+ */
 export type QueryOwner = (
   incarnation: string,
   query: OutcomeQuestion,
 ) => Promise<OutcomeReply | undefined>;
 
-/** What the guard needs of its entry. */
+/** The parts of the entry context that the guard uses. */
 export interface AtMostOnceGuardContext {
   clock: Clock;
   incarnation: string;
@@ -63,18 +66,24 @@
   queryOwner: QueryOwner;
 }
 
-/** Guards non-idempotent requests. */
+/** Ensures that non-idempotent requests run at most once. */
 export interface AtMostOnceGuard {
   begin(request: GuardedRequest): Promise<Result<GuardDecision, Failure>>;
-  /** Answers a peer about a request that only this entry may run. */
+  /**
+   * Answers a peer's query about a request that only this entry may run. If the
+   * request has not run, running it here is forbidden from then on.
+   */
   answer(query: OutcomeQuestion): Promise<OutcomeReply>;
 }
 
-/** Other entries' clocks, which make bindings too, may be ahead by this. */
+/** Bindings are also issued by other entries, whose clocks may be ahead. */
 const MAX_CLOCK_SKEW: Millis = 60_000;
-/** Left of the deadline after waiting for a claim, to run the request in. */
+/** Share of the remaining time to wait for a claim; the rest is for the run. */
 const CLAIM_WAIT_SHARE = 0.5;
-/** Records for dated ids are kept until no entry accepts the id any more. */
+/**
+ * Outcomes of dated ids are stored for this many claim windows, until no entry
+ * accepts the id any more.
+ */
 const RETENTION_WINDOWS = 2;
 
 type Decision = Result<GuardDecision, Failure>;
@@ -116,7 +125,7 @@
         id.expiresAt,
       );
     }
-    // From here on the records that could show an earlier run may be gone.
+    // The record of an earlier run may have expired along with the id.
     if (id.expiresAt <= now) return Result.err(failUnknown("expired"));
     return await beginLocal(request, { key, keepUntil: id.expiresAt });
   }
@@ -139,8 +148,8 @@
       );
     }
     const decision = await beginLocal(request, { key, keepUntil });
-    // A claim of this incarnation that was read before and left no record was
-    // abandoned before dispatch, so the request may run now.
+    // A claim of this incarnation that is already in the table but has no outcome
+    // record was abandoned before dispatch, so the request may run now.
     if (decision.isErr || decision.value.kind !== "run") return decision;
     if (holder !== undefined) return decision;
     return await claimRun(request, {
@@ -161,15 +170,15 @@
     },
   ): Promise<Decision> {
     const controller = new AbortController();
-    const giveUp = () => controller.abort();
+    const abort = () => controller.abort();
     const wait = request.remaining * CLAIM_WAIT_SHARE;
-    const stopTimer = clock.startTimer(wait, giveUp);
-    request.signal.addEventListener("abort", giveUp, { once: true });
+    const stopTimer = clock.startTimer(wait, abort);
+    request.signal.addEventListener("abort", abort, { once: true });
     const outcome = await claims.claim({ ...key, issuedAt }, controller.signal);
     stopTimer();
-    request.signal.removeEventListener("abort", giveUp);
+    request.signal.removeEventListener("abort", abort);
     if (outcome.kind === "won") return Result.ok({ kind: "run", run });
-    // Nothing was dispatched here and nothing will be under this claim.
+    // Nothing has been or will be dispatched under this claim.
     run.abandon(createUnknownAnswer());
     if (outcome.kind === "lost") {
       return await fetchFromOwner(outcome.holder, { request, key }, keepUntil);
@@ -221,8 +230,9 @@
 
   async function answer(query: OutcomeQuestion): Promise<OutcomeReply> {
     const now = clock.now();
-    // An expired id has no record any more; and nothing may be promised about
-    // one that a broken clock elsewhere made last for ever.
+    // An expired id has no record any more. An id that expires too far in the
+    // future, such as one from an entry with a wrong clock, cannot be forbidden for
+    // its whole lifetime.
     const isTooLong = query.keepUntil > now + bindingMs + MAX_CLOCK_SKEW +
         RETENTION_WINDOWS * claimWindowMs;
     if (query.keepUntil <= now || isTooLong) return { kind: "unknown" };
@@ -242,7 +252,7 @@
 
 const LOG_RETRY_AFTER: Millis = 1_000;
 const FULL_RETRY_AFTER: Millis = 5_000;
-/** Time for the way back from the owner. */
+/** Time reserved for the owner's reply to arrive. */
 const OWNER_REPLY_MARGIN: Millis = 50;
 
 function waitForOutcome<T>(
@@ -250,11 +260,11 @@
   signal: AbortSignal,
 ): Promise<T | undefined> {
   return new Promise((resolve) => {
-    const giveUp = () => resolve(undefined);
-    if (signal.aborted) return giveUp();
-    signal.addEventListener("abort", giveUp, { once: true });
+    const onAbort = () => resolve(undefined);
+    if (signal.aborted) return onAbort();
+    signal.addEventListener("abort", onAbort, { once: true });
     void outcome.then((value) => {
-      signal.removeEventListener("abort", giveUp);
+      signal.removeEventListener("abort", onAbort);
       resolve(value);
     });
   });
--- a/packages/entry/src/once_guard_test.ts
+++ b/packages/entry/src/once_guard_test.ts
@@ -24,16 +24,16 @@
 
 describe("at most once", () => {
   let clock: FakeClock;
-  /** What the owner that is asked replies; undefined: it cannot be asked. */
+  /** The owner's reply to a query; undefined if it is unreachable. */
   let ownerReply: OutcomeReply | undefined;
-  let asked: string[];
-  /** What the log decides about a claim. */
+  let queried: string[];
+  /** The log's decision about a claim. */
   let claimOutcome: ClaimOutcome;
 
   beforeEach(() => {
     clock = createFakeClock(NOW);
     ownerReply = undefined;
-    asked = [];
+    queried = [];
     claimOutcome = { kind: "won" };
   });
 
@@ -48,7 +48,7 @@
         outcomes: createOutcomeTable({ clock, capacity: 10 }),
         claims: { table, claim: () => Promise.resolve(claimOutcome) },
         queryOwner: (owner) => {
-          asked.push(owner);
+          queried.push(owner);
           return Promise.resolve(ownerReply);
         },
       },
@@ -97,16 +97,16 @@
 
   const OWNER_CASES = [
     {
-      // The caller's entry froze after it had sent the notice on; the caller
-      // asks another entry. Only the frozen one may run it, and it cannot be
-      // asked, so nobody runs it again.
-      name: "the owner is frozen, cut off or gone",
+      // The owner freezes after it dispatched the request, and the caller retries
+      // at another entry. Only the owner may run the request and it is
+      // unreachable, so no entry runs it again.
+      name: "the owner is frozen, partitioned or has crashed",
       reply: undefined,
       expected: { kind: "outcome_unknown", verdict: "may_have_run" },
     },
     {
-      // The owner never saw the request. It promises never to run it.
-      name: "the owner never saw it",
+      // The owner never received the request and is forbidden from running it.
+      name: "the owner never received it",
       reply: { kind: "forbidden" },
       expected: { kind: "duplicate", verdict: "not_run" },
     },
@@ -123,26 +123,26 @@
       const { guard } = createGuard();
       const result = await guard.begin(createRequest(bound("other")));
       expect(result.isErr && result.error).to.include(expected);
-      expect(asked).to.deep.equal(["other"]);
+      expect(queried).to.deep.equal(["other"]);
     });
   }
 
-  it("hands on the owner's answer to a caller that asks here", async () => {
+  it("forwards the owner's answer to a caller that retries here", async () => {
     ownerReply = { kind: "answered", answer: ANSWER };
     const { guard } = createGuard();
     const result = await guard.begin(createRequest(bound("other")));
     expect(result.isOk && result.value.kind).to.equal("answered");
   });
 
-  // The entry was replaced; the new process has the same name and address but
-  // none of the memory. The id names the old incarnation, so it does not run.
+  // The entry restarts under the same name and address but without its state. The
+  // id names the old incarnation, so it does not run.
   it("does not run what was bound to an earlier incarnation of itself", async () => {
     const { guard } = createGuard("me-2");
     const result = await guard.begin(createRequest(bound("me-1")));
     expect(result.isErr && result.error.verdict).to.equal("may_have_run");
   });
 
-  // The record that could show the first run expires; the caller still retries.
+  // The caller retries after the record of the first run has expired.
   it("does not run an expired id whose record may be gone", async () => {
     const { guard } = createGuard();
     const first = await guard.begin(createRequest(bound("me")));
@@ -157,13 +157,13 @@
     });
   });
 
-  it("refuses a binding that would have to be remembered too long", async () => {
+  it("refuses a binding whose record would have to be stored too long", async () => {
     const { guard } = createGuard();
     const result = await guard.begin(createRequest(bound("me", 86_400_000)));
     expect(result.isErr && result.error.kind).to.equal("malformed");
   });
 
-  it("refuses a plain id, which nothing protects", async () => {
+  it("refuses a plain id, which has no owner and no claim", async () => {
     const { guard } = createGuard();
     const result = await guard.begin(createRequest("mine"));
     expect(result.isErr && result.error).to.include({
@@ -180,21 +180,21 @@
 
   const CLAIM_CASES = [
     {
-      name: "another entry claimed it first and cannot be asked",
+      name: "another entry claimed it first and is unreachable",
       outcome: { kind: "lost", holder: "other" },
       isFirstAttempt: true,
       expected: { kind: "outcome_unknown", verdict: "may_have_run" },
     },
     {
-      name: "the log is away at the first attempt",
+      name: "the log is unavailable at the first attempt",
       outcome: { kind: "unknown" },
       isFirstAttempt: true,
       expected: { kind: "unavailable", verdict: "not_run" },
     },
     {
-      // The first attempt went to another entry; whether that one claimed the
-      // id before the log went away cannot be known here.
-      name: "the log is away at a later attempt",
+      // The first attempt went to another entry, which may have claimed the id
+      // before the log became unavailable.
+      name: "the log is unavailable at a later attempt",
       outcome: { kind: "unknown" },
       isFirstAttempt: false,
       expected: { kind: "unavailable", verdict: "may_have_run" },
@@ -212,10 +212,10 @@
     });
   }
 
-  // The claim's answer was lost, the request was refused as "not run", and the
-  // claim appears in the log after all. The caller tries again at this entry,
-  // which knows that it never dispatched anything, and may run it now.
-  it("runs a dated id whose earlier claim here was given up before dispatch", async () => {
+  // The claim timed out and the request was refused as `not_run`, but the claim
+  // appears in the log later. The caller retries at this entry, which dispatched
+  // nothing and may run the request now.
+  it("runs a dated id whose earlier claim here was abandoned before dispatch", async () => {
     claimOutcome = { kind: "unknown" };
     const { guard, table } = createGuard();
     await guard.begin(createRequest(dated()));
@@ -232,7 +232,7 @@
     expect(again.isOk && again.value.kind).to.equal("run");
   });
 
-  it("asks the holder of a claim that was read before", async () => {
+  it("queries the holder of a claim that was read before", async () => {
     ownerReply = { kind: "answered", answer: ANSWER };
     const { guard, table } = createGuard();
     table.apply({
@@ -244,7 +244,7 @@
     });
     const result = await guard.begin(createRequest(dated()));
     expect(result.isOk && result.value.kind).to.equal("answered");
-    expect(asked).to.deep.equal(["other"]);
+    expect(queried).to.deep.equal(["other"]);
   });
 
   it("does not run a dated id older than the claims that are kept", async () => {
@@ -253,8 +253,8 @@
     expect(result.isErr && result.error.verdict).to.equal("may_have_run");
   });
 
-  // A peer asks about an id that this entry has not seen, and tells its caller
-  // "not run". The caller's first message arrives here only then.
+  // A peer queries an id that this entry has not seen and reports `not_run` to its
+  // caller. The caller's original request arrives here afterwards.
   it("keeps its promise to a peer when the request arrives late", async () => {
     const { guard } = createGuard();
     const promised = await guard.answer({
@@ -271,7 +271,7 @@
     });
   });
 
-  it("promises nothing about an id whose records may be gone", async () => {
+  it("makes no promise about an id whose records may have expired", async () => {
     const { guard } = createGuard();
     const reply = await guard.answer({
       account: "handlers",
@@ -282,7 +282,7 @@
     expect(reply.kind).to.equal("unknown");
   });
 
-  it("tells another account nothing about a request", async () => {
+  it("does not reveal a request to another account", async () => {
     const { guard } = createGuard();
     const first = await guard.begin(createRequest(bound("me")));
     if (first.isOk && first.value.kind === "run") {
--- a/packages/entry/src/peer_exchange.ts
+++ b/packages/entry/src/peer_exchange.ts
@@ -1,6 +1,7 @@
 /**
- * The entry's exchange of peer state: strain, newer configurations, and
- * questions about requests that another entry owns.
+ * The entry's exchange of state with its peers (gossip): the priorities that miss
+ * deadlines, newer configurations, and queries about requests that another entry
+ * owns.
  *
  * @module
  */
@@ -22,7 +23,7 @@
 import type { ConfigFollower } from "./config_follower.ts";
 import type { EntryContext } from "./entry_context.ts";
 
-/** What the exchange works on. */
+/** Options of {@linkcode startPeerExchange}. */
 export interface PeerExchangeOptions {
   membership: Membership;
   directory: EndpointDirectory;
@@ -30,11 +31,11 @@
   config: Pick<ConfigFollower, "active" | "adopt">;
   markLeaving: (mark: LeavingMark) => void;
   limits: Pick<EndpointLimits, "chooseNews" | "takeNews">;
-  /** Requests in progress here. */
+  /** Counts the requests in progress at this entry. */
   countInFlight: () => number;
-  /** The highest priority that missed deadlines here lately, 0 for none. */
+  /** The highest priority that recently missed deadlines here, 0 for none. */
   readStrainedPriority: () => number;
-  /** Told what another entry is strained by. */
+  /** Called with the priority that misses deadlines at a peer. */
   onStrainedPriority: (strainedPriority: number) => void;
 }
 
@@ -42,11 +43,11 @@
 export interface PeerExchangeLoop {
   /** Answers a message of a peer. */
   answer(message: PeerExchange): PeerExchange;
-  /** Takes control addresses from the instance list. */
+  /** Replaces the control addresses known from the instance list. */
   addSeeds(entries: readonly EndpointInfo[]): void;
-  /** Tells some peers at once, such as when this entry begins to leave. */
+  /** Notifies some peers immediately, such as when this entry starts leaving. */
   notifyPeers(): Promise<void>;
-  /** Asks the entry of an incarnation; undefined when it cannot be asked. */
+  /** Queries the entry with an incarnation; undefined if it is unreachable. */
   queryOwner(
     incarnation: string,
     query: OutcomeQuestion,
@@ -54,7 +55,7 @@
   readonly task: Promise<void>;
 }
 
-/** Starts to exchange peer state. */
+/** Starts exchanging state with peers. */
 export function startPeerExchange(
   context: EntryContext,
   options: PeerExchangeOptions,
@@ -64,7 +65,7 @@
   const logger = context.logger.forPart("peers");
   let seeds: string[] = [...settings.peers];
 
-  /** Takes a newer configuration from a peer while the log is away or slow. */
+  /** Fetches a newer configuration from a peer if the log is unavailable or slow. */
   async function fetchNewerConfig(
     { heartbeats }: PeerExchange,
     address: string,
--- a/packages/entry/src/pipeline_runner.ts
+++ b/packages/entry/src/pipeline_runner.ts
@@ -31,20 +31,20 @@
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
 import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
-/** A pipeline request that was admitted. */
+/** An admitted pipeline request. */
 export interface PipelineTask {
   run: RequestRun;
   pipeline: PipelineConfig;
   body: PipelineBody;
-  /** Takes the tokens of the last stage, if the caller wants them streamed. */
+  /** Receives the tokens of the last stage if the caller wants a stream. */
   sink: TokenSink | undefined;
 }
 
 /** Runs pipelines. */
 export interface PipelineRunner {
-  /** Runs all stages; the output of the last one. */
+  /** Runs all stages and returns the output of the last one. */
   run(task: PipelineTask): Promise<Result<unknown, Failure>>;
-  /** What admission needs to know of the stages. */
+  /** Estimates the times of the stages, for admission. */
   forecast(
     pipeline: PipelineConfig,
     request: { priority: number; textLength: number },
@@ -59,12 +59,12 @@
   affinity: PrefixAffinity;
   policy: SecondAttemptPolicy;
   demand: DemandTracker;
-  /** Whether work that cannot be finished in time is dropped between stages. */
+  /** Whether requests that cannot meet their deadline are dropped between stages. */
   dropsInfeasible: boolean;
 }
 
 const PREFIX_NAME_LENGTH = 16;
-/** Share of the prefill that a cached prefix makes unnecessary, at most. */
+/** Largest share of the prefill time that a cached prefix saves. */
 const CACHED_PREFILL_SHARE = 0.7;
 
 /** Creates the runner of one entry. */
@@ -128,7 +128,7 @@
     return Result.ok(previous);
   }
 
-  /** Least time that the stages after one need. */
+  /** Computes the time that the given stages need without load. */
   function computeReservedTime(
     stages: readonly StageConfig[],
     { text }: PipelineBody,
@@ -231,7 +231,10 @@
     return ended.map(() => collector.readText());
   }
 
-  /** What a cached prefix saves: most of the prefill, nothing of the decode. */
+  /**
+   * Estimates the share of a stage's time that a cached prefix saves: most of the
+   * prefill time and none of the decode time.
+   */
   function estimatePrefixSaving(stage: StageConfig, length: number): number {
     const prefill = pools.find(stage.pool, stage.model).estimateUnloaded(
       length,
@@ -269,7 +272,7 @@
   reservedTime: number;
 }
 
-/** The failure that the caller sees: its verdict covers the whole request. */
+/** Creates the failure for the caller; its verdict covers the whole request. */
 function explainFailure(run: RequestRun, failure: Failure): Failure {
   if (run.deadline.signal.aborted) return createAbortedFailure(run);
   return { ...failure, verdict: run.verdict };
@@ -283,7 +286,7 @@
   });
 }
 
-/** The prompt of an engine: the caller's text and the stage before. */
+/** Formats a prompt from the previous stage's output and the caller's text. */
 function formatPrompt({ text }: PipelineBody, previous: unknown): string {
   return `${JSON.stringify(previous)}\n${text}`;
 }
--- a/packages/entry/src/placement_controller.ts
+++ b/packages/entry/src/placement_controller.ts
@@ -1,11 +1,12 @@
 /**
- * Keeps the engines of each pool in the state that demand asks for, under a
- * lease for the pool whose offset in the log is the fencing number of orders.
+ * Places models on the engines of each pool according to demand. The entry holds
+ * a lease for the pool, whose offset in the log is the fencing number of the
+ * orders that it sends.
  *
- * What cannot be guaranteed: an engine that does not check fencing numbers
- * carries out an order of a holder that was paused past its lease. Such an order
- * is a whole desired state, so the new holder sees and corrects it in its next
- * round. docs/design/leases_and_fencing.md.
+ * An engine that does not check fencing numbers executes an order from a holder
+ * that was paused past the end of its lease. Orders carry the complete desired
+ * state, so the new holder detects and corrects this in its next round. See
+ * docs/design/leases_and_fencing.md.
  *
  * @module
  */
@@ -44,10 +45,10 @@
   lease: HeldLease;
 }
 
-/** Looks after its pools this often, as a share of a lease's duration. */
+/** Time between reconciliation rounds, as a share of the lease duration. */
 const ROUND_INTERVAL_SHARE = 0.25;
 
-/** Keeps orders until the entry ends. */
+/** Reconciles the engines of all pools until the entry stops. */
 export async function runPlacementController(
   context: EntryContext,
   options: PlacementControllerOptions,
@@ -55,7 +56,7 @@
   const { clock, settings, random, signal, timeline } = context;
   const { leases, orders, weights, directory, demand } = options;
   const logger = context.logger.forPart("orders");
-  /** When this entry may first order engines without fencing, by lease. */
+  /** When orders to engines without fencing may start, by fencing number. */
   const mayOrderAt = new Map<number, Millis>();
   let weightStoreRetryAt: Millis = 0;
 
@@ -87,10 +88,10 @@
   }
 
   /**
-   * Failure guarded against: the holder before was paused, its lease lapsed,
-   * and it sends one more order when it wakes. It shows as an engine that flips
-   * between two states. Waiting lets such a pause end first; engines that check
-   * fencing numbers need no wait.
+   * Delays the first orders to engines that do not check fencing numbers. A
+   * previous holder that was paused until its lease expired may send one more
+   * order when it resumes, and engines would then alternate between two states.
+   * The delay lets such a pause end first.
    */
   function mayOrder({ pool, lease }: PoolRound): boolean {
     if (pool.checksFencing) return true;
@@ -108,13 +109,16 @@
       endpointKey: formatEndpointKey(engine),
       state: await orders.readState(engine),
     })));
-    // An engine that does not answer is left alone until it does.
+    // Engines that do not answer are skipped until they do.
     return states.flatMap(({ endpointKey, state }) =>
       state.isOk ? [{ endpointKey, models: state.value.models }] : []
     );
   }
 
-  /** Whether the weight store has what is wanted; waits out its rate limit. */
+  /**
+   * Whether the weight store has all the models. After an error, returns false
+   * without asking until the store's retry delay has passed.
+   */
   async function hasWeights({ models }: DesiredState): Promise<boolean> {
     if (clock.now() < weightStoreRetryAt) return false;
     for (const { name } of models) {
@@ -122,15 +126,18 @@
       if (found.isOk) continue;
       const wait = found.error.retryAfterMs ?? settings.timing.leaseMs;
       weightStoreRetryAt = clock.now() + wait * (1 + random());
-      logger.warn("Orders wait for the weight store.", {
-        reason: found.error.message,
-      });
+      logger.warn(
+        "Weight store did not confirm the model; orders are postponed.",
+        {
+          reason: found.error.message,
+        },
+      );
       return false;
     }
     return true;
   }
 
-  /** Sends one order; false when the lease is of no use any more. */
+  /** Sends an order; false when the lease is no longer usable. */
   async function sendOrder(
     { endpoint, desired, lease }: {
       endpoint: EndpointInfo;
@@ -138,7 +145,7 @@
       lease: HeldLease;
     },
   ): Promise<boolean> {
-    // As late as possible: the process may have been paused until now.
+    // Checked right before sending, as the process may have been paused.
     if (!lease.isValid()) return false;
     const { fence } = lease;
     timeline.record("order_sent", {
@@ -147,11 +154,16 @@
     });
     const sent = await orders.send({ endpoint, fence, desired });
     if (sent.isOk) {
-      logger.info("Ordered.", { endpoint: endpoint.id, fence });
+      logger.info("Order accepted by engine.", {
+        endpoint: endpoint.id,
+        fence,
+      });
       return true;
     }
     timeline.record("order_refused", { endpoint: endpoint.id });
-    logger.warn("An order was not taken.", { reason: sent.error.message });
+    logger.warn("Order not accepted by engine.", {
+      reason: sent.error.message,
+    });
     const isStale = sent.error.kind === "rejected" &&
       sent.error.verdict === "not_run";
     return !isStale;
--- a/packages/entry/src/pool_set.ts
+++ b/packages/entry/src/pool_set.ts
@@ -24,7 +24,7 @@
 import type { Millis } from "@mangoreach/shared";
 import type { EntryContext } from "./entry_context.ts";
 
-/** Time that endpoints spent on a stage, in seconds. */
+/** Time that the endpoints of a pool spent on requests, in seconds. */
 interface PoolCost {
   useful: number;
   wasted: number;
@@ -33,15 +33,15 @@
 /** The pools of an entry. */
 export interface PoolSet {
   /**
-   * The pool of this name, created on first use. With a model, only the
-   * engines that hold it, with a queue of their own.
+   * Returns the pool of this name and creates it on first use. With a model, the
+   * pool has only the engines that have it loaded, and a separate queue.
    */
   find(name: string, model?: string): StagePool;
-  /** Hands the endpoints that take new work to all pools. */
+  /** Updates all pools with the endpoints that accept new work. */
   refresh(): void;
-  /** Hands a load report to the pools that an engine belongs to. */
+  /** Passes a load report to the pools that an engine belongs to. */
   recordReport(endpoint: EndpointInfo, report: LoadReport): void;
-  /** Adds time that an endpoint spent, by whether it led to an answer in time. */
+  /** Adds endpoint time, as useful if it led to an answer in time. */
   addCost(pool: string, cost: { duration: Millis; isUseful: boolean }): void;
   readStatus(): NamedPoolStatus[];
 }
@@ -50,10 +50,10 @@
 export interface PoolSetOptions {
   directory: EndpointDirectory;
   attainment: AttainmentTracker;
-  /** Whether an engine holds a model, or nothing is known of it yet. */
+  /** Whether an engine has a model loaded; true if its models are unknown. */
   hasModel: (endpoint: EndpointInfo, model: string) => boolean;
   allowance: SendAllowance;
-  /** Told when an endpoint wants nothing for a while. */
+  /** Called when an endpoint asks for a pause. */
   onPause: (endpoint: EndpointInfo, pause: Millis) => void;
 }
 
@@ -63,7 +63,7 @@
   pool: StagePool;
 }
 
-/** Creates an empty set. */
+/** Creates the pools of one entry, initially none. */
 export function createPoolSet(
   context: EntryContext,
   { directory, attainment, hasModel, allowance, onPause }: PoolSetOptions,
@@ -71,7 +71,7 @@
   const { clock, timeline } = context;
   const logger = context.logger.forPart("endpoints");
   const pools = new Map<string, NamedPool>();
-  /** The last report of each engine; incarnations that are gone are dropped. */
+  /** The last report of each listed engine. */
   const reports = new Map<string, LoadReport>();
   const costs = new Map<string, PoolCost>();
 
@@ -87,14 +87,14 @@
       onPause,
       onEjected: ({ id }, cause) => {
         timeline.record("endpoint_ejected", { endpoint: id, detail: cause });
-        logger.warn("Endpoint taken out of use.", { endpoint: id, cause });
+        logger.warn("Endpoint ejected.", { endpoint: id, cause });
       },
     });
     const named = { name, model, pool };
     pools.set(key, named);
     refreshPool(named);
-    // Without its engines' last reports a new pool would start with the learnt
-    // limit, and refuse what idle engines could take.
+    // Without its engines' last reports, a new pool would start with the learnt
+    // limit and refuse work that idle engines could accept.
     for (const [key, report] of reports) pool.recordReport(key, report);
     return pool;
   }
--- a/packages/entry/src/request_execution.ts
+++ b/packages/entry/src/request_execution.ts
@@ -1,5 +1,5 @@
 /**
- * Runs an admitted request: a pipeline whole or streamed, or a service call.
+ * Runs an admitted request: a buffered or streamed pipeline, or a service call.
  *
  * @module
  */
@@ -25,7 +25,7 @@
 /** Runs admitted requests. */
 export interface RequestExecution {
   runBuffered(task: PipelineExecution): Promise<ExecutionResult>;
-  /** Streams the answer while it comes; the outcome was sent already. */
+  /** Streams the answer as it is generated. */
   runStreamed(
     exchange: { response: ServerResponse },
     task: PipelineExecution,
@@ -45,7 +45,7 @@
   return stages.at(-1)?.model !== undefined;
 }
 
-/** Creates the execution of one entry. */
+/** Creates the request execution of one entry. */
 export function createRequestExecution(
   { settings }: EntryContext,
   { pipelines, services, resumeTokens }: RequestExecutionOptions,
--- a/packages/entry/src/request_failures.ts
+++ b/packages/entry/src/request_failures.ts
@@ -1,5 +1,5 @@
 /**
- * The refusals of an entry, each with its proof in docs/operators/refusals.md.
+ * The refusals of an entry. docs/operators/refusals.md gives the proof of each.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   );
 }
 
-/** Creates the refusal of something that is not configured. */
+/** Creates the refusal of a name that is not configured. */
 export function failNotFound(what: string, name: string): Failure {
   return createFailure("not_found", {
     verdict: "not_run",
@@ -37,7 +37,7 @@
   });
 }
 
-/** Creates the refusal before the first configuration. */
+/** Creates the refusal of an entry that has no configuration yet. */
 export function failNotReady(): Failure {
   return createFailure("unavailable", {
     verdict: "not_run",
@@ -55,7 +55,7 @@
   });
 }
 
-/** Creates the refusal of work whose deadline passed before dispatch. */
+/** Creates the refusal of a request whose deadline passed before dispatch. */
 export function failDeadlinePassed(): Failure {
   return createFailure("deadline_exceeded", {
     verdict: "not_run",
--- a/packages/entry/src/request_handler.ts
+++ b/packages/entry/src/request_handler.ts
@@ -1,5 +1,6 @@
 /**
- * The life of one request at an entry: read, guard, admit, run, answer.
+ * Processes a request from receipt to response: reads it, checks for duplicates,
+ * admits it, runs it and answers.
  *
  * @module
  */
@@ -56,7 +57,7 @@
 import type { ServiceRunner } from "./service_runner.ts";
 import type { SiteConfig } from "./site_config.ts";
 
-/** Handles requests of callers. */
+/** Handles requests from callers. */
 export interface RequestHandler {
   handlePipeline(exchange: Exchange, name: string): Promise<void>;
   handleService(
@@ -76,30 +77,30 @@
   credentials: CredentialsCheck;
   readSite: () => SiteConfig | undefined;
   guard: AtMostOnceGuard;
-  /** Undefined where everything is admitted, to compare with. */
+  /** Undefined for the baselines, which admit everything. */
   admission: Admission | undefined;
   attainment: AttainmentTracker;
   pools: PoolSet;
   pipelines: PipelineRunner;
   services: ServiceRunner;
   execution: RequestExecution;
-  /** Whether new requests are refused because this entry ends. */
+  /** Whether new requests are refused because this entry is stopping. */
   isStopping: () => boolean;
 }
 
-/** What a request asks for, after its head and body were checked. */
+/** A request whose head and body are valid. */
 interface CheckedRequest {
   head: RequestHead;
   id: RequestId;
   site: SiteConfig;
   className: string;
-  /** The longest time allowed for what is asked. */
+  /** The longest deadline allowed for the pipeline or service. */
   maxDeadline: Millis;
   forecast(priority: number): StageForecast[];
   execute(run: RequestRun): Promise<ExecutionResult>;
 }
 
-/** Creates the handler of one entry. */
+/** Creates the request handler of one entry. */
 export function createRequestHandler(
   context: EntryContext,
   options: RequestHandlerOptions,
@@ -217,7 +218,7 @@
     return { kind: "bound", text, incarnation, expiresAt };
   }
 
-  /** Guards, admits, runs and answers a request whose form is good. */
+  /** Checks for duplicates, admits, runs and answers a valid request. */
   async function serve(
     exchange: Exchange,
     checked: CheckedRequest,
@@ -286,7 +287,8 @@
     if (options.isStopping()) {
       return { kind: "failed", failure: failStopping() };
     }
-    // The claim may have taken until the deadline, or the process was frozen.
+    // The deadline may have passed while the claim was pending or the process
+    // was paused.
     if (run.deadline.hasPassed()) {
       return { kind: "failed", failure: failDeadlinePassed() };
     }
@@ -311,8 +313,8 @@
   }
 
   /**
-   * Stops the work when the caller goes away. A non-idempotent request goes on:
-   * it may have run already, and whoever asks again gets its outcome.
+   * Cancels an idempotent request when its caller disconnects. A non-idempotent
+   * request continues, as it may have run already; a retry gets its outcome.
    */
   function watchCaller({ response }: Exchange, run: RequestRun): () => void {
     const onClose = () => {
@@ -358,7 +360,7 @@
     );
   }
 
-  /** Refuses before the body was read, so the connection cannot be kept. */
+  /** Refuses before the body is read, so the connection must be closed. */
   function refuseWithoutBody(exchange: Exchange, failure: Failure): void {
     exchange.response.setHeader("connection", "close");
     refuse(exchange, failure);
@@ -391,7 +393,7 @@
   { outcome, run }: { outcome: ExecutionResult; run: RequestRun },
 ): void {
   const answer = createStoredAnswer(outcome, run);
-  // Only what certainly did not run may be run by a later attempt.
+  // A later attempt may run the request only if it certainly did not run.
   const isNotRun = outcome.kind === "failed" &&
     outcome.failure.verdict === "not_run";
   if (isNotRun) owned.abandon(answer);
--- a/packages/entry/src/request_head.ts
+++ b/packages/entry/src/request_head.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the head of a caller's request: who asks, for what, by when.
+ * Reads the headers of a caller's request: account, id, class and deadline.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 import { Result } from "true-myth";
 import type { CredentialsCheck } from "./credentials_check.ts";
 
-/** The head of a request. */
+/** The parsed headers of a request. */
 export interface RequestHead {
   account: string;
-  /** Undefined when the caller left it to the entry to make one. */
+  /** Undefined when the entry is to generate one. */
   id: RequestId | undefined;
   className: string | undefined;
   deadlineMs: Millis | undefined;
@@ -27,7 +27,7 @@
 const MAX_DEADLINE: Millis = 600_000;
 const COUNT_PATTERN = /^[1-9]\d{0,6}$/;
 
-/** Reads and checks the head; every failure says `not_run`. */
+/** Parses and validates the headers; every failure has verdict `not_run`. */
 export function readRequestHead(
   { headers }: IncomingMessage,
   check: CredentialsCheck,
@@ -63,13 +63,13 @@
     className: read(CALLER_HEADERS.className),
     deadlineMs: deadline === undefined ? undefined : Number(deadline),
     isIdempotent: idempotent === "true",
-    // An id that the entry makes itself cannot have been sent before.
+    // An id that the entry generates cannot have been sent before.
     isFirstAttempt: id === undefined || attempt === "1",
     wantsStream: (headers.accept ?? "").includes("text/event-stream"),
   });
 }
 
-/** Creates the refusal for unknown accounts and wrong keys, which look alike. */
+/** Creates the refusal that unknown accounts and wrong keys share. */
 export function failUnauthorized(): Failure {
   return createFailure("unauthorized", {
     verdict: "not_run",
--- a/packages/entry/src/request_outcome.ts
+++ b/packages/entry/src/request_outcome.ts
@@ -1,6 +1,6 @@
 /**
- * What came of running a request, and what it means for its caller, for
- * attainment, for admission and for whoever asks again.
+ * The result of running a request, and what it means for the caller, attainment,
+ * admission and retries.
  *
  * @module
  */
@@ -17,17 +17,17 @@
 import type { RequestHead } from "./request_head.ts";
 import type { RequestRun } from "./request_run.ts";
 
-/** What came of running a request. */
+/** The result of running a request. */
 export type ExecutionResult =
-  /** To be sent. */
+  /** The answer is still to be sent. */
   | { kind: "answer"; answer: StoredAnswer }
-  /** Sent already, as a stream, whole. */
+  /** The complete answer was already sent as a stream. */
   | { kind: "streamed" }
   | { kind: "failed"; failure: Failure }
   /** The failure was already sent inside the stream. */
   | { kind: "stream_failed"; failure: Failure };
 
-/** What is remembered of a non-idempotent request for whoever asks again. */
+/** Creates the answer that is stored for retries of a non-idempotent request. */
 export function createStoredAnswer(
   outcome: ExecutionResult,
   run: RequestRun,
@@ -40,15 +40,15 @@
   }));
 }
 
-/** What an outcome says about how much of its class may be admitted. */
+/** Converts a result into feedback for admission control. */
 export function classifyForAdmission(
   outcome: ExecutionResult,
   { run, budget }: { run: RequestRun; budget: Millis },
 ): AdmittedEnd {
-  const left = run.deadline.remaining();
+  const remaining = run.deadline.remaining();
   if (!("failure" in outcome)) {
-    return left > 0
-      ? { kind: "in_time", slack: left / budget }
+    return remaining > 0
+      ? { kind: "in_time", slack: remaining / budget }
       : { kind: "missed" };
   }
   const { kind } = outcome.failure;
@@ -57,7 +57,7 @@
   return { kind: isDeadlineMissed ? "missed" : "other" };
 }
 
-/** How an outcome counts for attainment. */
+/** Classifies a result for attainment. */
 export function classifyOutcome(
   outcome: ExecutionResult,
   deadline: Deadline,
@@ -69,21 +69,22 @@
 }
 
 /**
- * The verdict of a refusal covers every attempt of the id at any entry. An
- * idempotent request leaves no record elsewhere, so only a caller's word that
- * this is the first attempt makes `not_run` certain.
+ * Weakens `not_run` unless this is the first attempt. The verdict of a refusal
+ * covers every attempt of the id at any entry. An idempotent request leaves no
+ * record elsewhere, so `not_run` is certain only if the caller states that this
+ * is the first attempt.
  */
 export function weakenVerdict(failure: Failure, head: RequestHead): Failure {
   if (failure.verdict !== "not_run" || head.isFirstAttempt) return failure;
   return { ...failure, verdict: "may_have_run" };
 }
 
-/** Weakens the verdict of an idempotent request that was sent before. */
+/** Weakens the verdict of a retried idempotent request. */
 export function weakenOutcome(
   outcome: ExecutionResult,
   head: RequestHead,
 ): ExecutionResult {
-  // The guard knows all attempts of a non-idempotent request.
+  // The at-most-once guard covers all attempts of a non-idempotent request.
   if (!("failure" in outcome) || !head.isIdempotent) return outcome;
   return { ...outcome, failure: weakenVerdict(outcome.failure, head) };
 }
--- a/packages/entry/src/request_run.ts
+++ b/packages/entry/src/request_run.ts
@@ -1,6 +1,6 @@
 /**
- * One request while it runs: its identity, its deadline, what it may have
- * executed, and what it cost.
+ * The state of a running request: its identity and deadline, whether it may have
+ * executed, and its cost.
  *
  * @module
  */
@@ -14,21 +14,21 @@
   duration: Millis;
 }
 
-/** One request while it runs. */
+/** The state of a running request. */
 export interface RequestRun {
   readonly account: string;
-  /** As the caller chose it. */
+  /** The id as the caller knows it. */
   readonly id: string;
-  /** Client account and id, as endpoints see it. */
+  /** Client account and id, as sent to endpoints. */
   readonly wireId: string;
   readonly workClass: WorkClass;
   readonly deadline: Deadline;
   readonly isIdempotent: boolean;
-  /** Whether any call that left this entry may have executed. */
+  /** Whether any call sent by this entry may have executed. */
   readonly verdict: Verdict;
-  /** Costs of the attempts whose results were used. */
+  /** Costs of the successful attempts. */
   readonly costs: StageCost[];
-  /** Makes the verdict weaker, never stronger. */
+  /** Combines a verdict into the request's; it only becomes weaker. */
   recordVerdict(verdict: Verdict): void;
 }
 
@@ -38,7 +38,7 @@
   "account" | "id" | "workClass" | "deadline" | "isIdempotent"
 >;
 
-/** Creates a run that has executed nothing. */
+/** Creates the state of a request that has not executed anything. */
 export function createRequestRun(options: RequestRunOptions): RequestRun {
   let verdict: Verdict = "not_run";
   return {
--- a/packages/entry/src/resume_token.ts
+++ b/packages/entry/src/resume_token.ts
@@ -1,7 +1,7 @@
 /**
- * Signed tokens with which any entry continues a stream, so that no stream
- * state has to be shared. A token that was changed, is too old or belongs to
- * another client account gives nothing away: all are refused alike.
+ * Signed tokens with which any entry can resume a stream, so that entries share no
+ * stream state. Modified and expired tokens and those of another client account
+ * are refused alike, so that a refusal reveals nothing.
  *
  * @module
  */
@@ -27,13 +27,13 @@
   expiresAt: z.number(),
 });
 
-/** What a token says. */
+/** The content of a token. */
 export type ResumeTokenContent = z.infer<typeof contentSchema>;
 
-/** Signs and checks tokens. */
+/** Signs and verifies tokens. */
 export interface ResumeTokens {
   sign(content: ResumeTokenContent): string;
-  /** The content, or undefined for any fault. */
+  /** Returns the content, or undefined if the token is invalid. */
   check(token: string, account: string): ResumeTokenContent | undefined;
 }
 
@@ -44,10 +44,10 @@
 }
 
 const MAX_TOKEN_LENGTH = 2_048;
-/** Entries' clocks may differ by this much. */
+/** Allowed difference between the clocks of entries. */
 const MAX_CLOCK_SKEW: Millis = 2_000;
 
-/** Creates the tokens of a site. */
+/** Creates the token signer of a site. */
 export function createResumeTokens(
   { clock, siteKey }: ResumeTokensOptions,
 ): ResumeTokens {
--- a/packages/entry/src/resume_token_test.ts
+++ b/packages/entry/src/resume_token_test.ts
@@ -23,16 +23,24 @@
   const tokens = createResumeTokens({ clock, siteKey: "a-site-key-of-tests" });
   const token = tokens.sign(CONTENT);
 
-  it("gives its content to its own account, at any entry with the site's key", () => {
+  it("returns its content to its own account at any entry with the site's key", () => {
     const other = createResumeTokens({ clock, siteKey: "a-site-key-of-tests" });
     expect(other.check(token, "handlers")).to.deep.equal(CONTENT);
   });
 
   const REFUSED = [
     { name: "another account", token, account: "portal" },
-    { name: "nothing", token: "", account: "handlers" },
-    { name: "a part", token: token.split(".")[0]!, account: "handlers" },
-    { name: "more parts", token: `${token}.x`, account: "handlers" },
+    { name: "an empty token", token: "", account: "handlers" },
+    {
+      name: "a token without a signature",
+      token: token.split(".")[0]!,
+      account: "handlers",
+    },
+    {
+      name: "a token with an extra part",
+      token: `${token}.x`,
+      account: "handlers",
+    },
     {
       name: "another site's token",
       token: createResumeTokens({ clock, siteKey: "another-key-of-tests" })
@@ -62,7 +70,7 @@
     );
   });
 
-  it("gives nothing once it has expired", async () => {
+  it("returns undefined once it has expired", async () => {
     await clock.advance(4_001);
     expect(tokens.check(token, "handlers")).to.equal(undefined);
   });
--- a/packages/entry/src/second_attempts.ts
+++ b/packages/entry/src/second_attempts.ts
@@ -1,5 +1,5 @@
 /**
- * When second attempts are made, by policy.
+ * The policies for second attempts.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import type { EntrySettings } from "./entry_settings.ts";
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
 
-/** A hedge starts only when an attempt is far slower than one in twenty. */
+/** A hedge starts after this multiple of the 95th percentile of the latency. */
 const HEDGE_FACTOR = 3;
 const MIN_HEDGE_DELAY: Millis = 100;
-/** The baselines give up an attempt after this time and try again. */
+/** Time-out of one attempt of the baselines, which then retry. */
 const BASELINE_ATTEMPT_TIMEOUT: Millis = 2_000;
 
-/** Creates the policy of an entry. */
+/** Creates the second-attempt policy of an entry. */
 export function createSecondAttemptPolicy(
   policy: EntrySettings["policy"],
   { budget }: { budget: RetryBudget },
@@ -28,7 +28,7 @@
   };
 }
 
-/** Retries without a budget, as the baselines make them. */
+/** Creates the policy of the baselines: retries without a budget. */
 function createBaselinePolicy(): SecondAttemptPolicy {
   return {
     budget: { balance: Infinity, deposit() {}, withdraw: () => true },
--- a/packages/entry/src/service_runner.ts
+++ b/packages/entry/src/service_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one call of a plain service.
+ * Runs service calls, which have a single stage.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
 import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
-/** A service call that was admitted. */
+/** An admitted service call. */
 export interface ServiceTask {
   run: RequestRun;
   service: ServiceConfig;
@@ -40,7 +40,7 @@
   policy: SecondAttemptPolicy;
 }
 
-/** Creates the runner of one entry. */
+/** Creates the service runner of one entry. */
 export function createServiceRunner(
   { clock, timeline, metrics }: EntryContext,
   { pools, services, policy }: ServiceRunnerOptions,
--- a/packages/entry/src/site_clients.ts
+++ b/packages/entry/src/site_clients.ts
@@ -1,5 +1,5 @@
 /**
- * The handles of everything that an entry speaks to.
+ * The clients for all services that an entry calls.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 import { createWeightStoreClient } from "@mangoreach/weight_store";
 import type { EntryContext } from "./entry_context.ts";
 
-/** The handles of one entry. */
+/** The clients of one entry. */
 export interface SiteClients {
   log: LogClient;
   instanceList: InstanceListClient;
@@ -41,7 +41,7 @@
 const ENGINE_TIMEOUT: Millis = 1_000;
 const PEER_TIMEOUT: Millis = 1_000;
 
-/** Creates the handles; each connects on its first call. */
+/** Creates the clients; each connects on its first call. */
 export function createSiteClients(
   { settings, clock }: EntryContext,
   endpointOptions: Omit<StageClientOptions, "clock">,
--- a/packages/entry/src/site_config.ts
+++ b/packages/entry/src/site_config.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force, indexed for requests.
+ * The configuration in force, indexed by name for requests.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   findPipeline(name: string): PipelineConfig | undefined;
   findService(name: string): ServiceConfig | undefined;
   findPool(name: string): PoolConfig | undefined;
-  /** Whether an account may send in a class. */
+  /** Whether an account may send requests of a class. */
   isAllowed(account: string, className: string): boolean;
   listPools(): PoolConfig[];
 }
--- a/packages/entry/src/stage_attempts.ts
+++ b/packages/entry/src/stage_attempts.ts
@@ -1,9 +1,9 @@
 /**
- * Runs one stage of a request: a first attempt, and within the budget a hedge
- * when it is slow or a retry when it fails.
+ * Runs one stage of a request: a first attempt and, within the retry budget, a
+ * hedge if it is slow or a retry if it fails.
  *
- * A call that may not be repeated gets a second attempt only after an answer
- * that proves that the first did not run.
+ * A call that is not idempotent is retried only if the response to the first
+ * attempt proves that it did not run.
  *
  * @module
  */
@@ -22,12 +22,12 @@
 import type { EntryMetrics } from "./entry_metrics.ts";
 import type { RequestRun } from "./request_run.ts";
 
-/** When second attempts are made. */
+/** Decides when second attempts are made. */
 export interface SecondAttemptPolicy {
   budget: RetryBudget;
-  /** After which time a hedge starts; undefined for none. */
+  /** Delay after which a hedge starts; undefined for no hedging. */
   computeHedgeDelay(pool: StagePool, size: number): Millis | undefined;
-  /** After which time an attempt is given up; undefined for the deadline. */
+  /** Time-out of one attempt; undefined to wait until the deadline. */
   attemptTimeout: Millis | undefined;
 }
 
@@ -39,7 +39,7 @@
   signal: AbortSignal;
 }
 
-/** What {@linkcode runAttempts} needs. */
+/** Options of {@linkcode runAttempts}. */
 export interface StageAttemptsOptions<T> {
   clock: Clock;
   metrics: EntryMetrics;
@@ -50,17 +50,20 @@
   policy: SecondAttemptPolicy;
   /** The number of the first attempt. */
   firstNumber?: number;
-  /** Whether the permit stays with the result, which goes on at the endpoint. */
+  /**
+   * Whether the permit is returned with the result instead of being released,
+   * because the work continues at the endpoint.
+   */
   retainsPermit: boolean;
   send(attempt: StageAttempt): Promise<Result<T, Failure>>;
   onWasted(duration: Millis): void;
 }
 
-/** The result of the attempt that was used. */
+/** The result of the successful attempt. */
 export interface StageSuccess<T> {
   value: T;
   permit: Permit;
-  /** Its number. */
+  /** Number of the attempt. */
   number: number;
   startedAt: Millis;
 }
@@ -87,7 +90,7 @@
 const MAX_ATTEMPTS = 4;
 const HEDGE_DUE: HedgeDue = { kind: "hedge_due" };
 
-/** Runs a stage until one attempt succeeds or no other is allowed. */
+/** Runs a stage until an attempt succeeds or no further attempt is allowed. */
 export async function runAttempts<T>(
   options: StageAttemptsOptions<T>,
 ): Promise<Result<StageSuccess<T>, Failure>> {
@@ -125,7 +128,7 @@
     const { attempt, result } = event;
     running.delete(attempt);
     if (result.isOk) {
-      for (const slower of running) abandonAttempt(slower, options);
+      for (const other of running) abandonAttempt(other, options);
       return Result.ok(
         acceptAttempt(attempt, { options, value: result.value }),
       );
@@ -218,7 +221,7 @@
   attempt: RunningAttempt<T>,
   { run, clock, onWasted }: StageAttemptsOptions<T>,
 ): void {
-  // Its result may still arrive; nobody waits for it any more.
+  // The call may still complete, but its result is no longer needed.
   run.recordVerdict("may_have_run");
   attempt.controller.abort();
   onWasted(clock.now() - attempt.startedAt);
@@ -232,8 +235,8 @@
   const { run, clock, onWasted } = options;
   run.recordVerdict(failure.verdict);
   if (failure.verdict !== "not_run") onWasted(clock.now() - startedAt);
-  // An attempt that the request's own end cut short says nothing about its
-  // endpoint: under overload every endpoint would look slow and be ejected.
+  // An attempt that was aborted because the request ended says nothing about its
+  // endpoint. Counting it would eject every endpoint as slow under overload.
   const isRequestAborted = run.deadline.signal.aborted;
   permit.release(
     isRequestAborted ? "abandoned" : classifyAttempt(failure),
@@ -268,7 +271,7 @@
   const mayRepeat = run.isIdempotent || failure.verdict === "not_run";
   if (!mayRepeat || attemptCount >= MAX_ATTEMPTS) return undefined;
   if (run.deadline.signal.aborted) return undefined;
-  // A call that never ran cost the endpoints nothing and needs no budget.
+  // A call that never ran put no load on the endpoints and needs no budget.
   const isBudgetExempt = failure.verdict === "not_run" &&
     failure.kind !== "overloaded";
   if (!isBudgetExempt && !policy.budget.withdraw()) return undefined;
@@ -278,7 +281,10 @@
   return any.isOk ? any.value : undefined;
 }
 
-/** Creates the failure of a request whose deadline passed or that was left. */
+/**
+ * Creates the failure of a request whose deadline passed or whose caller
+ * disconnected.
+ */
 export function createAbortedFailure(run: RequestRun): Failure {
   const isCallerGone = run.deadline.signal.reason === "caller_gone";
   return createFailure(isCallerGone ? "cancelled" : "deadline_exceeded", {
--- a/packages/entry/src/stream_handler.ts
+++ b/packages/entry/src/stream_handler.ts
@@ -1,5 +1,5 @@
 /**
- * Continues a stream that broke, at this or another entry.
+ * Resumes streams after a broken connection, also those started at other entries.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import { failMalformed, failUnauthorized } from "./request_head.ts";
 import type { ResumeTokenContent, ResumeTokens } from "./resume_token.ts";
 
-/** Continues streams. */
+/** Resumes streams. */
 export interface StreamHandler {
   handleResume(
     exchange: Exchange,
@@ -35,7 +35,7 @@
 
 const SEQUENCE_PATTERN = /^(0|[1-9]\d{0,8})$/;
 
-/** Creates the handler of one entry. */
+/** Creates the stream handler of one entry. */
 export function createStreamHandler(
   { clock, timeline }: EntryContext,
   { credentials, resumeTokens, engines }: StreamHandlerOptions,
@@ -118,7 +118,7 @@
   };
 }
 
-/** One answer for every fault of a token: it must give nothing away. */
+/** All invalid tokens get the same answer, so that it reveals nothing. */
 function failToken(): Failure {
   return createFailure("not_found", {
     verdict: "may_have_run",
