--- a/packages/entry/src/caller_listener.ts
+++ b/packages/entry/src/caller_listener.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' door: which path is answered by which part. Peers' and control
- * paths do not exist here; they are on another port.
+ * The callers' port: routes requests by path. The paths for peers and operators
+ * are on the control port only.
  *
  * @module
  */
@@ -43,12 +43,12 @@
   membership: Membership;
   requests: RequestHandler;
   streams: StreamHandler;
-  /** One task for each request, so that a stop can wait for them. */
+  /** The requests in progress, which a graceful shutdown waits for. */
   tasks: TaskSet;
 }
 
 const MAX_ADDRESSES = 4;
-/** A caller asks again after this share of the keeping time. */
+/** Callers refresh addresses after this share of their lifetime. */
 const ASK_AGAIN_SHARE = 0.7;
 const MAX_PATH_LENGTH = 4_096;
 
@@ -60,11 +60,14 @@
   const { clock, settings, random } = context;
   const logger = context.logger.forPart("callers");
 
-  function listen(request: IncomingMessage, response: ServerResponse): void {
+  function handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const exchange = { request, response };
     tasks.add(
       route(exchange).catch((error) => {
-        // A fault of ours must not take the process down with other requests.
+        // An internal error must not end the process and its other requests.
         logger.error("A request failed unexpectedly.", {
           error: String(error),
         });
@@ -81,9 +84,7 @@
     }
     const { path, query } = url;
     if (path === CALLER_PATHS.addresses) {
-      return checkMethod(exchange, "GET")
-        ? answerAddresses(exchange)
-        : undefined;
+      return checkMethod(exchange, "GET") ? sendAddresses(exchange) : undefined;
     }
     if (path.startsWith(CALLER_PATHS.pipelines)) {
       if (!checkMethod(exchange, "POST")) return;
@@ -115,7 +116,7 @@
     return false;
   }
 
-  function answerAddresses(exchange: Exchange): void {
+  function sendAddresses(exchange: Exchange): void {
     const { request, response } = exchange;
     const given = parseCredentials(request.headers.authorization);
     if (given === undefined || !credentials.isAccount(given)) {
@@ -159,7 +160,7 @@
     });
   }
 
-  return listen;
+  return handleRequest;
 }
 
 interface ParsedPath {
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,5 +1,5 @@
 /**
- * Wires the parts of an entry together, starts and stops it.
+ * Creates the components of an entry, and starts and stops it.
  *
  * @module
  */
@@ -44,9 +44,9 @@
 import type { EntryContext } from "./entry_context.ts";
 import { createEntryMetrics } from "./entry_metrics.ts";
 import type { EntrySettings } from "./entry_settings.ts";
-import { startLeaseKeeper } from "./lease_keeper.ts";
-import { createOnceGuard } from "./once_guard.ts";
-import { keepOrders } from "./order_keeper.ts";
+import { startLeaseManager } from "./lease_manager.ts";
+import { createAtMostOnceGuard } from "./once_guard.ts";
+import { runPlacementController } from "./placement_controller.ts";
 import { startPeerExchange } from "./peer_exchange.ts";
 import { createPipelineRunner } from "./pipeline_runner.ts";
 import { createPoolSet } from "./pool_set.ts";
@@ -64,12 +64,12 @@
   readonly controlAddress: string;
   readonly status: EntryStatus;
   /**
-   * Stops gracefully: leaves the address answers, serves callers with old
-   * answers for a while, finishes what is in progress. Resolves with the number
-   * of requests that were cut off.
+   * Stops gracefully: is no longer listed in address responses, serves callers
+   * with older address lists for a while, and finishes requests in progress.
+   * Resolves with the number of requests that were cut off.
    */
   stop(): Promise<number>;
-  /** Cuts off whatever is in progress. */
+  /** Stops immediately and cuts off requests in progress. */
   kill(): void;
 }
 
@@ -80,7 +80,7 @@
   logger: Logger;
   random: () => number;
   createUniqueText: () => string;
-  /** Told when an operator asks over the control port to drain. */
+  /** Called when an operator requests a drain over the control port. */
   onDrain: () => void;
 }
 
@@ -91,8 +91,8 @@
 /** Starts an entry; resolves once it listens on both ports. */
 export async function startEntry(options: EntryOptions): Promise<Entry> {
   const { settings, clock, random } = options;
-  const ending = new AbortController();
-  const context = createContext(options, ending.signal);
+  const shutdown = new AbortController();
+  const context = createContext(options, shutdown.signal);
   const { incarnation, logger, metrics, timeline } = context;
   const entryLogger = logger.forPart("entry");
   let phase: "serving" | "leaving" | "stopping" = "serving";
@@ -115,7 +115,7 @@
   const pools = createPoolSet(context, {
     directory,
     attainment,
-    holdsModel: (endpoint, model) => watch.holdsModel(endpoint, model),
+    hasModel: (endpoint, model) => watch.hasModel(endpoint, model),
     allowance,
     onPause: (endpoint, pause) =>
       pauses.record(formatEndpointKey(endpoint), pause),
@@ -146,8 +146,8 @@
   const policy = createSecondAttemptPolicy(settings.policy, {
     budget: createRetryBudget(RETRY_BUDGET),
   });
-  const isOwnPolicy = settings.policy === "mangoreach";
-  const admission = isOwnPolicy
+  const isMangoreachPolicy = settings.policy === "mangoreach";
+  const admission = isMangoreachPolicy
     ? createAdmission({
       clock,
       random,
@@ -164,10 +164,10 @@
     clock,
     capacity: settings.limits.maxRemembered,
   });
-  const guard = createOnceGuard(context, {
+  const guard = createAtMostOnceGuard(context, {
     outcomes,
     claims,
-    askOwner: (owner, question) => exchange.askOwner(owner, question),
+    queryOwner: (owner, query) => exchange.queryOwner(owner, query),
   });
   const pipelines = createPipelineRunner(context, {
     pools,
@@ -176,7 +176,7 @@
     affinity,
     policy,
     demand,
-    dropsHopeless: isOwnPolicy,
+    dropsInfeasible: isMangoreachPolicy,
   });
   const services = createServiceRunner(context, {
     pools,
@@ -203,11 +203,12 @@
     maxHeaderBytes: settings.limits.maxHeaderBytes,
     requestTimeoutMs: settings.limits.requestTimeoutMs,
   };
-  // Callers with an old address may come before the parts below are wired.
-  let listenCallers = refuseEarly;
-  let listenControl = refuseEarly;
+  // Callers that already know the address may connect before the components
+  // below exist.
+  let handleCallerRequest = refuseWhileStarting;
+  let handleControlRequest = refuseWhileStarting;
   const callerServer = await startServer(
-    (request, response) => listenCallers(request, response),
+    (request, response) => handleCallerRequest(request, response),
     {
       address: settings.callerAddress,
       limits: {
@@ -217,7 +218,7 @@
     },
   );
   const controlServer = await startServer(
-    (request, response) => listenControl(request, response),
+    (request, response) => handleControlRequest(request, response),
     {
       address: settings.controlAddress,
       limits: { ...serverLimits, maxConnections: CONTROL_CONNECTIONS },
@@ -227,7 +228,7 @@
     callerServer,
     controlServer,
   });
-  listenCallers = createCallerListener(context, {
+  handleCallerRequest = createCallerListener(context, {
     credentials,
     membership,
     requests,
@@ -246,7 +247,7 @@
     pools,
     affinity,
     isEnginePool: (pool) => config.site?.findPool(pool)?.kind === "engine",
-    isHeldBack: allowance.isThrottled,
+    isThrottled: allowance.isThrottled,
     onEntries: (entries) => exchange.addSeeds(entries),
   });
   const exchange = startPeerExchange(context, {
@@ -254,16 +255,16 @@
     directory,
     peers,
     config,
-    markLeaving: ({ endpointKey, ...ground }) =>
-      watch.markLeaving(endpointKey, ground),
+    markLeaving: ({ endpointKey, ...evidence }) =>
+      watch.markLeaving(endpointKey, evidence),
     limits,
     countInFlight: () => requestTasks.size,
-    readStrained: () => admission?.strainedPriority ?? 0,
-    onStrain: (priority) => admission?.shedBelow(priority),
+    readStrainedPriority: () => admission?.strainedPriority ?? 0,
+    onStrainedPriority: (priority) => admission?.shedBelow(priority),
   });
-  listenControl = createControlListener(context, {
+  handleControlRequest = createControlListener(context, {
     credentials,
-    listenPeers: createPeerListener({
+    handlePeerRequest: createPeerListener({
       handlers: {
         exchange: exchange.answer,
         readConfig: () => config.active ?? null,
@@ -276,8 +277,8 @@
     drain: options.onDrain,
   });
   if (settings.placesModels) {
-    void keepOrders(context, {
-      leases: startLeaseKeeper(context, log),
+    void runPlacementController(context, {
+      leases: startLeaseManager(context, log),
       orders,
       weights,
       directory,
@@ -286,7 +287,7 @@
     });
   }
   timeline.record("process_started", { detail: incarnation });
-  entryLogger.info("Started.", {
+  entryLogger.info("Entry started.", {
     callers: readServerAddress(callerServer),
     control: readServerAddress(controlServer),
     incarnation,
@@ -322,32 +323,32 @@
   async function stop(): Promise<number> {
     phase = "leaving";
     timeline.record("process_stopping");
-    entryLogger.info("Leaving: not named to callers any more.");
+    entryLogger.info("Leaving; no longer listed in address responses.");
     membership.updateSelf({ state: "leaving" });
-    await exchange.tellPeers();
-    // Callers keep an old address answer for a while; they are still served.
-    await clock.sleep(settings.timing.drainMs, ending.signal);
+    await exchange.notifyPeers();
+    // Callers cache address lists for a while, so they are still served.
+    await clock.sleep(settings.timing.drainMs, shutdown.signal);
     phase = "stopping";
     await waitForRequests();
-    const cut = requestTasks.size;
-    timeline.record("process_stopped", { detail: `${cut} cut off` });
+    const cutOffCount = requestTasks.size;
+    timeline.record("process_stopped", { detail: `${cutOffCount} cut off` });
     kill();
     await clients.close();
-    entryLogger.info("Stopped.", { cutOff: cut });
-    return cut;
+    entryLogger.info("Entry stopped.", { cutOff: cutOffCount });
+    return cutOffCount;
   }
 
   async function waitForRequests(): Promise<void> {
-    const giveUpAt = clock.now() + settings.timing.shutdownMs;
+    const timeoutAt = clock.now() + settings.timing.shutdownMs;
     void stopServer(callerServer);
-    while (requestTasks.size > 0 && clock.now() < giveUpAt) {
-      await clock.sleep(STOP_CHECK_INTERVAL, ending.signal);
-      if (ending.signal.aborted) return;
+    while (requestTasks.size > 0 && clock.now() < timeoutAt) {
+      await clock.sleep(STOP_CHECK_INTERVAL, shutdown.signal);
+      if (shutdown.signal.aborted) return;
     }
   }
 
   function kill(): void {
-    ending.abort();
+    shutdown.abort();
     callerServer.closeAllConnections();
     controlServer.closeAllConnections();
     callerServer.close();
@@ -365,19 +366,22 @@
   };
 }
 
-function refuseEarly(
+function refuseWhileStarting(
   _request: IncomingMessage,
   response: ServerResponse,
 ): void {
-  sendAnswer(response, createFailureAnswer(EARLY_FAILURE));
+  sendAnswer(response, createFailureAnswer(STARTING_FAILURE));
 }
 
-const EARLY_FAILURE = createFailure("stopping", {
+const STARTING_FAILURE = createFailure("stopping", {
   verdict: "not_run",
   message: "this entry is starting",
 });
 
-/** One second attempt for twenty stages, and a few in hand for a quiet entry. */
+/**
+ * One second attempt per twenty stages, with a small reserve for an entry with
+ * little traffic.
+ */
 const RETRY_BUDGET = { share: 0.05, max: 4 };
 
 function createContext(
--- a/packages/entry/src/generation_runner.ts
+++ b/packages/entry/src/generation_runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a generation: the first token with hedges, then the stream, resumed at
- * the engine when the connection breaks, and begun again at another engine when
- * the engine is gone.
+ * Runs a generation: hedges until the first token arrives, then follows the
+ * stream. A broken connection is resumed at the same engine; if the engine has
+ * failed, the generation restarts at another engine.
  *
  * @module
  */
@@ -19,9 +19,9 @@
 import type { EntryContext } from "./entry_context.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { SecondAttemptPolicy, StageAttempt } from "./stage_attempts.ts";
-import { createGivenUpFailure, runAttempts } from "./stage_attempts.ts";
+import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
-/** What is generated. */
+/** A generation to run. */
 export interface GenerationTask {
   run: RequestRun;
   stage: string;
@@ -31,20 +31,23 @@
   prompt: string;
   prefix: string;
   maxTokens: number;
-  /** Time that later stages need. */
-  reserve: number;
+  /** Time reserved for later stages. */
+  reservedTime: number;
   affinity: NonNullable<RoutingRequest["affinity"]> | undefined;
-  /** Where tokens go as they come. */
+  /** Receives the tokens as they arrive. */
   sink: TokenSink;
-  /** Whether the caller may resume, so the engine must outlive a lost reader. */
+  /**
+   * Whether the caller may resume the stream, so that the engine must continue for
+   * a while after it loses its reader.
+   */
   isResumable: boolean;
 }
 
-/** Takes the tokens of a generation. */
+/** Receives the tokens of a generation. */
 export interface TokenSink {
-  /** A generation begins; tokens taken before belong to one that is lost. */
+  /** Starts a generation; earlier tokens belong to a failed one. */
   start(generation: StartedGeneration): void;
-  take(tokens: readonly Token[]): void;
+  write(tokens: readonly Token[]): void;
 }
 
 /** Where a generation runs. */
@@ -53,11 +56,11 @@
   streamId: string;
 }
 
-/** What {@linkcode runGeneration} works with. */
+/** Dependencies of {@linkcode runGeneration}. */
 export interface GenerationTools {
   engines: EngineClient;
   policy: SecondAttemptPolicy;
-  /** Time from the first token to the last, by token limit. */
+  /** Model of the time from the first token to the last, by token limit. */
   decodeTimes: LatencyModel;
   onSent: (permit: Permit["endpoint"], prefix: string) => void;
   onWasted: (pool: string, duration: number) => void;
@@ -66,7 +69,7 @@
 interface OpenedGeneration {
   events: AsyncGenerator<GenerationEvent>;
   streamId: string;
-  /** Whatever arrived with the first tokens. */
+  /** The first event after `start`. */
   first: GenerationEvent;
   controller: AbortController;
 }
@@ -81,7 +84,7 @@
 ): Promise<Result<number, Failure>> {
   const { run } = task;
   let number = 1;
-  for (let turn = 1;; turn++) {
+  for (let runCount = 1;; runCount++) {
     const opened = await openGeneration(context, { task, tools, number });
     if (opened.isErr) return Result.err(opened.error);
     number = opened.value.number + 1;
@@ -91,7 +94,7 @@
       opened: opened.value,
     });
     if (end.isOk) return end;
-    const mayRepeat = run.isIdempotent && turn < MAX_RUNS &&
+    const mayRepeat = run.isIdempotent && runCount < MAX_RUNS &&
       !run.deadline.signal.aborted && tools.policy.budget.withdraw();
     if (!mayRepeat) return end;
     context.metrics.countSecondAttempt("retry");
@@ -125,13 +128,13 @@
       account: run.account,
       size: prompt.length,
       deadline: run.deadline,
-      reservedTime: task.reserve +
+      reservedTime: task.reservedTime +
         tools.decodeTimes.estimateTypical(task.maxTokens),
       ...(affinity === undefined ? {} : { affinity }),
     },
     policy: tools.policy,
     firstNumber: number,
-    keepsPermit: true,
+    retainsPermit: true,
     send: (attempt) => sendGeneration(context, { task, tools, attempt }),
     onWasted: (duration) => tools.onWasted(task.poolName, duration),
   });
@@ -147,10 +150,11 @@
 ): Promise<Result<OpenedGeneration, Failure>> {
   const { run, stage } = task;
   const { endpoint, signal } = attempt;
-  // Outlives the attempt: once opened, only the request's end stops it.
+  // Separate from the attempt's signal: once the stream is open, only the end of
+  // the request aborts it.
   const controller = new AbortController();
-  const giveUp = () => controller.abort();
-  signal.addEventListener("abort", giveUp, { once: true });
+  const abort = () => controller.abort();
+  signal.addEventListener("abort", abort, { once: true });
   if (task.prefix !== "") tools.onSent(endpoint, task.prefix);
   timeline.record("stage_sent", {
     request: run.id,
@@ -171,11 +175,11 @@
     causalTime: formatCausalTime(timeline.clock.tick()),
     signal: controller.signal,
   });
-  const first = await readUntilToken(events);
-  signal.removeEventListener("abort", giveUp);
+  const first = await readFirstEvent(events);
+  signal.removeEventListener("abort", abort);
   if (first.event.kind === "broken") {
-    // An engine goes on for a while without a reader, so that a stream can be
-    // resumed. Nobody can resume this one: it would hold a slot for nobody.
+    // Engines continue for a while without a reader, so that streams can be
+    // resumed. This one is not resumed, so cancelling it frees its slot.
     if (first.streamId !== undefined) {
       void tools.engines.cancel(endpoint, first.streamId);
     }
@@ -188,15 +192,15 @@
   return Result.ok({ events, controller, streamId, first: first.event });
 }
 
-interface FirstRead {
+interface FirstEvent {
   streamId: string | undefined;
   /** The first event that is not `start`. */
   event: GenerationEvent;
 }
 
-async function readUntilToken(
+async function readFirstEvent(
   events: AsyncGenerator<GenerationEvent>,
-): Promise<FirstRead> {
+): Promise<FirstEvent> {
   let streamId: string | undefined;
   for (;;) {
     const next = await events.next();
@@ -216,7 +220,7 @@
   resumes: number;
 }
 
-/** Hands on the tokens of an opened generation until its end. */
+/** Forwards the tokens of an opened generation until it ends. */
 async function followGeneration(
   context: EntryContext,
   { task, tools, opened }: {
@@ -243,13 +247,13 @@
     return end;
   }
   tools.onWasted(task.poolName, duration);
-  const isOurs = run.deadline.signal.aborted;
-  permit.release(isOurs ? "abandoned" : "failing");
-  if (!isOurs) return end;
+  const isRequestAborted = run.deadline.signal.aborted;
+  permit.release(isRequestAborted ? "abandoned" : "failing");
+  if (!isRequestAborted) return end;
   if (!task.isResumable || run.deadline.hasPassed()) {
     void tools.engines.cancel(permit.endpoint, value.streamId);
   }
-  return Result.err(createGivenUpFailure(run));
+  return Result.err(createAbortedFailure(run));
 }
 
 async function readToEnd(
@@ -267,13 +271,13 @@
       return Result.err(failStream("ended without its end event"));
     }
     if (event.kind === "tokens") {
-      sink.take(event.tokens);
+      sink.write(event.tokens);
       stream.next += event.tokens.length;
     } else if (event.kind === "end") return Result.ok(event.count);
     else if (event.kind === "broken") {
-      const isLost = run.deadline.signal.aborted ||
+      const isUnrecoverable = run.deadline.signal.aborted ||
         stream.resumes >= MAX_RESUMES;
-      if (isLost) return Result.err(event.failure);
+      if (isUnrecoverable) return Result.err(event.failure);
       stream.resumes++;
       stream.events = tools.engines.resume({
         endpoint: opened.permit.endpoint,
--- a/packages/entry/src/once_guard.ts
+++ b/packages/entry/src/once_guard.ts
@@ -1,7 +1,7 @@
 /**
- * Sees to it that a non-idempotent request runs at most once, over retries at
- * other entries, frozen and dead entries, lost answers and a log that is away.
- * docs/design/at_most_once.md weighs the ways.
+ * Ensures that a non-idempotent request runs at most once, despite retries at
+ * other entries, frozen or crashed entries, lost responses and an unavailable
+ * log. docs/design/at_most_once.md compares the alternatives.
  *
  * @module
  */
@@ -24,31 +24,34 @@
 import type { EntrySettings } from "./entry_settings.ts";
 import { failMalformed } from "./request_head.ts";
 
-/** What may be done with a request. */
-export type OnceDecision =
+/** Whether a request may run, or already has an answer. */
+export type GuardDecision =
   /** It may run here, once; the run must be finished or abandoned. */
   | { kind: "run"; run: RunHandle<StoredAnswer> }
-  /** It ran or was refused before; this was the answer. */
+  /** It already ran or was refused; this is the stored answer. */
   | { kind: "answered"; answer: StoredAnswer };
 
-/** A non-idempotent request. */
-export interface OnceRequest {
+/** A non-idempotent request, as the guard sees it. */
+export interface GuardedRequest {
   account: string;
   id: RequestId;
   isFirstAttempt: boolean;
-  /** Aborts when the request is given up. */
+  /** Aborts when the deadline passes or the request is cancelled. */
   signal: AbortSignal;
   remaining: Millis;
 }
 
-/** Asks the entry with an incarnation; undefined when it cannot be asked. */
-export type AskOwner = (
+/**
+ * Queries the entry with the given incarnation for the outcome of a request.
+ * Returns undefined when that entry cannot be reached.
+ */
+export type QueryOwner = (
   incarnation: string,
-  question: OutcomeQuestion,
+  query: OutcomeQuestion,
 ) => Promise<OutcomeReply | undefined>;
 
-/** What the guard needs of its entry. */
-export interface OnceGuardContext {
+/** The parts of the entry context that the guard uses. */
+export interface AtMostOnceGuardContext {
   clock: Clock;
   incarnation: string;
   settings: {
@@ -56,37 +59,43 @@
   };
 }
 
-/** Options of {@linkcode createOnceGuard}. */
-export interface OnceGuardOptions {
+/** Options of {@linkcode createAtMostOnceGuard}. */
+export interface AtMostOnceGuardOptions {
   outcomes: OutcomeTable<StoredAnswer>;
   claims: Pick<ClaimService, "claim" | "table">;
-  askOwner: AskOwner;
+  queryOwner: QueryOwner;
 }
 
-/** Guards non-idempotent requests. */
-export interface OnceGuard {
-  begin(request: OnceRequest): Promise<Result<OnceDecision, Failure>>;
-  /** Answers a peer about a request that only this entry may run. */
-  answer(question: OutcomeQuestion): Promise<OutcomeReply>;
+/** Ensures that non-idempotent requests run at most once. */
+export interface AtMostOnceGuard {
+  begin(request: GuardedRequest): Promise<Result<GuardDecision, Failure>>;
+  /**
+   * Answers a peer's query about a request that only this entry may run. If the
+   * request has not run, running it here is forbidden from then on.
+   */
+  answer(query: OutcomeQuestion): Promise<OutcomeReply>;
 }
 
-/** Other entries' clocks, which make bindings too, may be ahead by this. */
-const MAX_AHEAD: Millis = 60_000;
-/** Left of the deadline after waiting for a claim, to run the request in. */
-const CLAIM_SHARE = 0.5;
-/** Records for dated ids are kept until no entry accepts the id any more. */
-const KEEP_WINDOWS = 2;
+/** Bindings are also issued by other entries, whose clocks may be ahead. */
+const MAX_CLOCK_SKEW: Millis = 60_000;
+/** Share of the remaining time to wait for a claim; the rest is for the run. */
+const CLAIM_WAIT_SHARE = 0.5;
+/**
+ * Outcomes of dated ids are stored for this many claim windows, until no entry
+ * accepts the id any more.
+ */
+const RETENTION_WINDOWS = 2;
 
-type Decision = Result<OnceDecision, Failure>;
+type Decision = Result<GuardDecision, Failure>;
 
 /** Creates the guard of one entry incarnation. */
-export function createOnceGuard(
-  { settings, clock, incarnation }: OnceGuardContext,
-  { outcomes, claims, askOwner }: OnceGuardOptions,
-): OnceGuard {
+export function createAtMostOnceGuard(
+  { settings, clock, incarnation }: AtMostOnceGuardContext,
+  { outcomes, claims, queryOwner }: AtMostOnceGuardOptions,
+): AtMostOnceGuard {
   const { bindingMs, claimWindowMs } = settings.timing;
 
-  async function begin(request: OnceRequest): Promise<Decision> {
+  async function begin(request: GuardedRequest): Promise<Decision> {
     const { id } = request;
     switch (id.kind) {
       case "bound":
@@ -101,38 +110,46 @@
   }
 
   async function beginBound(
-    request: OnceRequest,
+    request: GuardedRequest,
     id: RequestId & { kind: "bound" },
   ): Promise<Decision> {
     const key = { account: request.account, id: id.text };
     const now = clock.now();
-    if (id.expiresAt > now + bindingMs + MAX_AHEAD) {
+    if (id.expiresAt > now + bindingMs + MAX_CLOCK_SKEW) {
       return Result.err(failMalformed("the id's binding lasts too long"));
     }
     if (id.incarnation !== incarnation) {
-      return await askOther(id.incarnation, { request, key }, id.expiresAt);
+      return await fetchFromOwner(
+        id.incarnation,
+        { request, key },
+        id.expiresAt,
+      );
     }
-    // From here on the records that could show an earlier run may be gone.
+    // The record of an earlier run may have expired along with the id.
     if (id.expiresAt <= now) return Result.err(failUnknown("expired"));
-    return await beginHere(request, { key, keepUntil: id.expiresAt });
+    return await beginLocal(request, { key, keepUntil: id.expiresAt });
   }
 
   async function beginDated(
-    request: OnceRequest,
+    request: GuardedRequest,
     id: RequestId & { kind: "dated" },
   ): Promise<Decision> {
     const key = { account: request.account, id: id.text };
     if (!claims.table.isWithinWindow(id.issuedAt)) {
       return Result.err(failUnknown("expired"));
     }
-    const keepUntil = id.issuedAt + KEEP_WINDOWS * claimWindowMs;
+    const keepUntil = id.issuedAt + RETENTION_WINDOWS * claimWindowMs;
     const holder = claims.table.find(key);
     if (holder !== undefined && holder.incarnation !== incarnation) {
-      return await askOther(holder.incarnation, { request, key }, keepUntil);
+      return await fetchFromOwner(
+        holder.incarnation,
+        { request, key },
+        keepUntil,
+      );
     }
-    const decision = await beginHere(request, { key, keepUntil });
-    // A claim of this incarnation that was read before and left no record was
-    // abandoned before dispatch, so the request may run now.
+    const decision = await beginLocal(request, { key, keepUntil });
+    // A claim of this incarnation that is already in the table but has no outcome
+    // record was abandoned before dispatch, so the request may run now.
     if (decision.isErr || decision.value.kind !== "run") return decision;
     if (holder !== undefined) return decision;
     return await claimRun(request, {
@@ -144,7 +161,7 @@
   }
 
   async function claimRun(
-    request: OnceRequest,
+    request: GuardedRequest,
     { key, issuedAt, keepUntil, run }: {
       key: RequestKey;
       issuedAt: Millis;
@@ -153,18 +170,18 @@
     },
   ): Promise<Decision> {
     const controller = new AbortController();
-    const giveUp = () => controller.abort();
-    const wait = request.remaining * CLAIM_SHARE;
-    const stopTimer = clock.startTimer(wait, giveUp);
-    request.signal.addEventListener("abort", giveUp, { once: true });
+    const abort = () => controller.abort();
+    const wait = request.remaining * CLAIM_WAIT_SHARE;
+    const stopTimer = clock.startTimer(wait, abort);
+    request.signal.addEventListener("abort", abort, { once: true });
     const outcome = await claims.claim({ ...key, issuedAt }, controller.signal);
     stopTimer();
-    request.signal.removeEventListener("abort", giveUp);
+    request.signal.removeEventListener("abort", abort);
     if (outcome.kind === "won") return Result.ok({ kind: "run", run });
-    // Nothing was dispatched here and nothing will be under this claim.
+    // Nothing has been or will be dispatched under this claim.
     run.abandon(createUnknownAnswer());
     if (outcome.kind === "lost") {
-      return await askOther(outcome.holder, { request, key }, keepUntil);
+      return await fetchFromOwner(outcome.holder, { request, key }, keepUntil);
     }
     return Result.err(createFailure("unavailable", {
       verdict: request.isFirstAttempt ? "not_run" : "may_have_run",
@@ -173,8 +190,8 @@
     }));
   }
 
-  async function beginHere(
-    request: OnceRequest,
+  async function beginLocal(
+    request: GuardedRequest,
     { key, keepUntil }: { key: RequestKey; keepUntil: Millis },
   ): Promise<Decision> {
     const begun = outcomes.begin(key, keepUntil);
@@ -197,13 +214,13 @@
     }
   }
 
-  async function askOther(
+  async function fetchFromOwner(
     owner: string,
-    { request, key }: { request: OnceRequest; key: RequestKey },
+    { request, key }: { request: GuardedRequest; key: RequestKey },
     keepUntil: Millis,
   ): Promise<Decision> {
-    const waitMs = Math.max(0, request.remaining - OWNER_SLACK);
-    const reply = await askOwner(owner, { ...key, keepUntil, waitMs });
+    const waitMs = Math.max(0, request.remaining - OWNER_REPLY_MARGIN);
+    const reply = await queryOwner(owner, { ...key, keepUntil, waitMs });
     if (reply?.kind === "answered") {
       return Result.ok({ kind: "answered", answer: reply.answer });
     }
@@ -211,18 +228,19 @@
     return Result.err(failUnknown("owner"));
   }
 
-  async function answer(question: OutcomeQuestion): Promise<OutcomeReply> {
+  async function answer(query: OutcomeQuestion): Promise<OutcomeReply> {
     const now = clock.now();
-    // An expired id has no record any more; and nothing may be promised about
-    // one that a broken clock elsewhere made last for ever.
-    const isTooLong = question.keepUntil > now + bindingMs + MAX_AHEAD +
-        KEEP_WINDOWS * claimWindowMs;
-    if (question.keepUntil <= now || isTooLong) return { kind: "unknown" };
-    const found = outcomes.forbid(question, question.keepUntil);
+    // An expired id has no record any more. An id that expires too far in the
+    // future, such as one from an entry with a wrong clock, cannot be forbidden for
+    // its whole lifetime.
+    const isTooLong = query.keepUntil > now + bindingMs + MAX_CLOCK_SKEW +
+        RETENTION_WINDOWS * claimWindowMs;
+    if (query.keepUntil <= now || isTooLong) return { kind: "unknown" };
+    const found = outcomes.forbid(query, query.keepUntil);
     if (found.kind === "forbidden") return { kind: "forbidden" };
     if (found.kind === "full") return { kind: "unknown" };
     const controller = new AbortController();
-    const stop = clock.startTimer(question.waitMs, () => controller.abort());
+    const stop = clock.startTimer(query.waitMs, () => controller.abort());
     const answered = await waitForOutcome(found.outcome, controller.signal);
     stop();
     if (answered === undefined) return { kind: "unknown" };
@@ -234,19 +252,19 @@
 
 const LOG_RETRY_AFTER: Millis = 1_000;
 const FULL_RETRY_AFTER: Millis = 5_000;
-/** Time for the way back from the owner. */
-const OWNER_SLACK: Millis = 50;
+/** Time reserved for the owner's reply to arrive. */
+const OWNER_REPLY_MARGIN: Millis = 50;
 
 function waitForOutcome<T>(
   outcome: Promise<T>,
   signal: AbortSignal,
 ): Promise<T | undefined> {
   return new Promise((resolve) => {
-    const giveUp = () => resolve(undefined);
-    if (signal.aborted) return giveUp();
-    signal.addEventListener("abort", giveUp, { once: true });
+    const onAbort = () => resolve(undefined);
+    if (signal.aborted) return onAbort();
+    signal.addEventListener("abort", onAbort, { once: true });
     void outcome.then((value) => {
-      signal.removeEventListener("abort", giveUp);
+      signal.removeEventListener("abort", onAbort);
       resolve(value);
     });
   });
--- a/packages/entry/src/peer_exchange.ts
+++ b/packages/entry/src/peer_exchange.ts
@@ -1,6 +1,7 @@
 /**
- * The entry's exchange of peer state: strain, newer configurations, and
- * questions about requests that another entry owns.
+ * The entry's exchange of state with its peers (gossip): the priorities that miss
+ * deadlines, newer configurations, and queries about requests that another entry
+ * owns.
  *
  * @module
  */
@@ -22,7 +23,7 @@
 import type { ConfigFollower } from "./config_follower.ts";
 import type { EntryContext } from "./entry_context.ts";
 
-/** What the exchange works on. */
+/** Options of {@linkcode startPeerExchange}. */
 export interface PeerExchangeOptions {
   membership: Membership;
   directory: EndpointDirectory;
@@ -30,31 +31,31 @@
   config: Pick<ConfigFollower, "active" | "adopt">;
   markLeaving: (mark: LeavingMark) => void;
   limits: Pick<EndpointLimits, "chooseUpdates" | "applyUpdate">;
-  /** Requests in progress here. */
+  /** Counts the requests in progress at this entry. */
   countInFlight: () => number;
-  /** The highest priority that missed deadlines here lately, 0 for none. */
-  readStrained: () => number;
-  /** Told what another entry is strained by. */
-  onStrain: (strainedPriority: number) => void;
+  /** The highest priority that recently missed deadlines here, 0 for none. */
+  readStrainedPriority: () => number;
+  /** Called with the priority that misses deadlines at a peer. */
+  onStrainedPriority: (strainedPriority: number) => void;
 }
 
 /** A running exchange. */
 export interface PeerExchangeLoop {
   /** Answers a message of a peer. */
   answer(message: PeerExchange): PeerExchange;
-  /** Takes control addresses from the instance list. */
+  /** Replaces the control addresses known from the instance list. */
   addSeeds(entries: readonly EndpointInfo[]): void;
-  /** Tells some peers at once, such as when this entry begins to leave. */
-  tellPeers(): Promise<void>;
-  /** Asks the entry of an incarnation; undefined when it cannot be asked. */
-  askOwner(
+  /** Notifies some peers immediately, such as when this entry starts leaving. */
+  notifyPeers(): Promise<void>;
+  /** Queries the entry with an incarnation; undefined if it is unreachable. */
+  queryOwner(
     incarnation: string,
-    question: OutcomeQuestion,
+    query: OutcomeQuestion,
   ): Promise<OutcomeReply | undefined>;
   readonly task: Promise<void>;
 }
 
-/** Starts to exchange peer state. */
+/** Starts exchanging state with peers. */
 export function startPeerExchange(
   context: EntryContext,
   options: PeerExchangeOptions,
@@ -64,8 +65,8 @@
   const logger = context.logger.forPart("peers");
   let seeds: string[] = [...settings.peers];
 
-  /** Takes a newer configuration from a peer while the log is away or slow. */
-  async function readNewerConfig(
+  /** Fetches a newer configuration from a peer if the log is unavailable or slow. */
+  async function fetchNewerConfig(
     { heartbeats }: PeerExchange,
     address: string,
   ): Promise<void> {
@@ -78,21 +79,21 @@
     if (newer.isOk && newer.value !== undefined) config.adopt(newer.value);
   }
 
-  function beat(): void {
+  function updateSelf(): void {
     membership.updateSelf({
       inFlight: options.countInFlight(),
-      strainedPriority: options.readStrained(),
+      strainedPriority: options.readStrainedPriority(),
       configVersion: config.active?.version ?? 0,
     });
   }
 
-  async function askOwner(
+  async function queryOwner(
     incarnation: string,
-    question: OutcomeQuestion,
+    query: OutcomeQuestion,
   ): Promise<OutcomeReply | undefined> {
     const owner = findByIncarnation(membership, incarnation);
     if (owner === undefined) return undefined;
-    const reply = await peers.askOutcome(owner.controlAddress, question);
+    const reply = await peers.askOutcome(owner.controlAddress, query);
     return reply.isOk ? reply.value : undefined;
   }
 
@@ -103,7 +104,7 @@
     membership,
     directory,
     interval: settings.timing.exchangeMs,
-    beat,
+    beat: updateSelf,
     listSeeds: () => seeds,
     exchange: (address, message) => peers.exchange(address, message),
     markLeaving: options.markLeaving,
@@ -111,8 +112,9 @@
     noteLimitNews: options.limits.applyUpdate,
     onIntroduced: ({ entry }) =>
       timeline.record("peer_seen", { detail: entry }),
-    onHeartbeat: ({ strainedPriority }) => options.onStrain(strainedPriority),
-    onReply: readNewerConfig,
+    onHeartbeat: ({ strainedPriority }) =>
+      options.onStrainedPriority(strainedPriority),
+    onReply: fetchNewerConfig,
     onUnanswered: (address) =>
       logger.debug("No answer from a peer.", { address }),
     onBytes: (direction, bytes) => metrics.countPeerBytes(direction, bytes),
@@ -123,8 +125,8 @@
     addSeeds(entries) {
       seeds = [...settings.peers, ...entries.map(({ address }) => address)];
     },
-    tellPeers: () => loop.tellPeers(),
-    askOwner,
+    notifyPeers: () => loop.tellPeers(),
+    queryOwner,
     task: loop.task,
   };
 }
--- a/packages/entry/src/order_keeper.ts
+++ b/packages/entry/src/placement_controller.ts
@@ -1,11 +1,12 @@
 /**
- * Keeps the engines of each pool in the state that demand asks for, under a
- * lease for the pool whose offset in the log is the fencing number of orders.
+ * Places models on the engines of each pool according to demand. The entry holds
+ * a lease for the pool, whose offset in the log is the fencing number of the
+ * orders that it sends.
  *
- * What cannot be guaranteed: an engine that does not check fencing numbers
- * carries out an order of a holder that was paused past its lease. Such an order
- * is a whole desired state, so the new holder sees and corrects it in its next
- * round. docs/design/leases_and_fencing.md.
+ * An engine that does not check fencing numbers executes an order from a holder
+ * that was paused past the end of its lease. Orders carry the complete desired
+ * state, so the new holder detects and corrects this in its next round. See
+ * docs/design/leases_and_fencing.md.
  *
  * @module
  */
@@ -26,11 +27,11 @@
 import type { Millis } from "@mangoreach/shared";
 import type { WeightStoreClient } from "@mangoreach/weight_store";
 import type { EntryContext } from "./entry_context.ts";
-import type { LeaseKeeper } from "./lease_keeper.ts";
+import type { LeaseManager } from "./lease_manager.ts";
 
-/** Options of {@linkcode keepOrders}. */
-export interface OrderKeeperOptions {
-  leases: LeaseKeeper;
+/** Options of {@linkcode runPlacementController}. */
+export interface PlacementControllerOptions {
+  leases: LeaseManager;
   orders: EngineOrderClient;
   weights: WeightStoreClient;
   directory: EndpointDirectory;
@@ -44,53 +45,53 @@
   lease: HeldLease;
 }
 
-/** Looks after its pools this often, as a share of a lease's duration. */
-const ROUND_SHARE = 0.25;
+/** Time between reconciliation rounds, as a share of the lease duration. */
+const ROUND_INTERVAL_SHARE = 0.25;
 
-/** Keeps orders until the entry ends. */
-export async function keepOrders(
+/** Reconciles the engines of all pools until the entry stops. */
+export async function runPlacementController(
   context: EntryContext,
-  options: OrderKeeperOptions,
+  options: PlacementControllerOptions,
 ): Promise<void> {
   const { clock, settings, random, signal, timeline } = context;
   const { leases, orders, weights, directory, demand } = options;
   const logger = context.logger.forPart("orders");
-  /** When this entry may first order engines without fencing, by lease. */
+  /** When orders to engines without fencing may start, by fencing number. */
   const mayOrderAt = new Map<number, Millis>();
-  let weightsWaitUntil: Millis = 0;
+  let weightStoreRetryAt: Millis = 0;
 
   async function runRound(round: PoolRound): Promise<void> {
     const { pool, config, lease } = round;
     if (!mayOrder(round)) return;
     const engines = directory.listUsable(pool.name);
-    const holdings = await readHoldings(engines);
+    const inventories = await readInventories(engines);
     const plans = planPlacement({
       models: config.models,
-      engines: holdings,
+      engines: inventories,
       demand: demand.read(),
       modelsPerEngine: pool.modelsPerEngine,
     });
-    for (const holding of holdings) {
+    for (const inventory of inventories) {
       const plan = plans.find(({ endpointKey }) =>
-        endpointKey === holding.endpointKey
+        endpointKey === inventory.endpointKey
       );
       const endpoint = engines.find((engine) =>
-        formatEndpointKey(engine) === holding.endpointKey
+        formatEndpointKey(engine) === inventory.endpointKey
       );
       if (plan === undefined || endpoint === undefined) continue;
-      if (isSamePlan(plan.models, holding.models)) continue;
+      if (isSamePlan(plan.models, inventory.models)) continue;
       const desired: DesiredState = { models: plan.models, role: "both" };
       if (!await hasWeights(desired)) return;
-      const isKept = await sendOrder({ endpoint, desired, lease });
-      if (!isKept) return leases.drop(formatResource(pool));
+      const isLeaseUsable = await sendOrder({ endpoint, desired, lease });
+      if (!isLeaseUsable) return leases.drop(formatResource(pool));
     }
   }
 
   /**
-   * Failure guarded against: the holder before was paused, its lease lapsed,
-   * and it sends one more order when it wakes. It shows as an engine that flips
-   * between two states. Waiting lets such a pause end first; engines that check
-   * fencing numbers need no wait.
+   * Delays the first orders to engines that do not check fencing numbers. A
+   * previous holder that was paused until its lease expired may send one more
+   * order when it resumes, and engines would then alternate between two states.
+   * The delay lets such a pause end first.
    */
   function mayOrder({ pool, lease }: PoolRound): boolean {
     if (pool.checksFencing) return true;
@@ -101,36 +102,42 @@
     return false;
   }
 
-  async function readHoldings(
+  async function readInventories(
     engines: readonly EndpointInfo[],
   ): Promise<EngineInventory[]> {
     const states = await Promise.all(engines.map(async (engine) => ({
       endpointKey: formatEndpointKey(engine),
       state: await orders.readState(engine),
     })));
-    // An engine that does not answer is left alone until it does.
+    // Engines that do not answer are skipped until they do.
     return states.flatMap(({ endpointKey, state }) =>
       state.isOk ? [{ endpointKey, models: state.value.models }] : []
     );
   }
 
-  /** Whether the weight store has what is wanted; waits out its rate limit. */
+  /**
+   * Whether the weight store has all the models. After an error, returns false
+   * without asking until the store's retry delay has passed.
+   */
   async function hasWeights({ models }: DesiredState): Promise<boolean> {
-    if (clock.now() < weightsWaitUntil) return false;
+    if (clock.now() < weightStoreRetryAt) return false;
     for (const { name } of models) {
       const found = await weights.find(name);
       if (found.isOk) continue;
       const wait = found.error.retryAfterMs ?? settings.timing.leaseMs;
-      weightsWaitUntil = clock.now() + wait * (1 + random());
-      logger.warn("Orders wait for the weight store.", {
-        reason: found.error.message,
-      });
+      weightStoreRetryAt = clock.now() + wait * (1 + random());
+      logger.warn(
+        "Weight store did not confirm the model; orders are postponed.",
+        {
+          reason: found.error.message,
+        },
+      );
       return false;
     }
     return true;
   }
 
-  /** Sends one order; false when the lease is of no use any more. */
+  /** Sends an order; false when the lease is no longer usable. */
   async function sendOrder(
     { endpoint, desired, lease }: {
       endpoint: EndpointInfo;
@@ -138,7 +145,7 @@
       lease: HeldLease;
     },
   ): Promise<boolean> {
-    // As late as possible: the process may have been paused until now.
+    // Checked right before sending, as the process may have been paused.
     if (!lease.isValid()) return false;
     const { fence } = lease;
     timeline.record("order_sent", {
@@ -147,18 +154,24 @@
     });
     const sent = await orders.send({ endpoint, fence, desired });
     if (sent.isOk) {
-      logger.info("Ordered.", { endpoint: endpoint.id, fence });
+      logger.info("Order accepted by engine.", {
+        endpoint: endpoint.id,
+        fence,
+      });
       return true;
     }
     timeline.record("order_refused", { endpoint: endpoint.id });
-    logger.warn("An order was not taken.", { reason: sent.error.message });
+    logger.warn("Order not accepted by engine.", {
+      reason: sent.error.message,
+    });
     const isStale = sent.error.kind === "rejected" &&
       sent.error.verdict === "not_run";
     return !isStale;
   }
 
   while (!signal.aborted) {
-    const pause = settings.timing.leaseMs * ROUND_SHARE * (0.75 + random() / 2);
+    const pause = settings.timing.leaseMs * ROUND_INTERVAL_SHARE *
+      (0.75 + random() / 2);
     await clock.sleep(pause, signal);
     const config = options.readConfig();
     if (signal.aborted || config === undefined) continue;
--- a/packages/entry/src/request_handler.ts
+++ b/packages/entry/src/request_handler.ts
@@ -1,5 +1,6 @@
 /**
- * The life of one request at an entry: read, guard, admit, run, answer.
+ * Processes a request from receipt to response: reads it, checks for duplicates,
+ * admits it, runs it and answers.
  *
  * @module
  */
@@ -28,35 +29,35 @@
 import { createFailureAnswer, sendAnswer } from "./caller_answer.ts";
 import type { CredentialsCheck } from "./credentials_check.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { OnceGuard } from "./once_guard.ts";
+import type { AtMostOnceGuard } from "./once_guard.ts";
 import type { PipelineRunner } from "./pipeline_runner.ts";
 import type { PoolSet } from "./pool_set.ts";
 import {
   failBody,
   failClass,
+  failDeadlinePassed,
   failNotFound,
   failNotReady,
   failStopping,
-  failTooLate,
 } from "./request_failures.ts";
 import type { RequestHead } from "./request_head.ts";
 import { readRequestHead } from "./request_head.ts";
 import type { RequestExecution } from "./request_execution.ts";
 import { isStreamable } from "./request_execution.ts";
-import type { ExecutedRequest } from "./request_outcome.ts";
+import type { ExecutionResult } from "./request_outcome.ts";
 import {
+  classifyForAdmission,
   classifyOutcome,
-  createRememberedAnswer,
-  describeEnd,
-  weaken,
+  createStoredAnswer,
   weakenOutcome,
+  weakenVerdict,
 } from "./request_outcome.ts";
 import type { RequestRun } from "./request_run.ts";
 import { createRequestRun } from "./request_run.ts";
 import type { ServiceRunner } from "./service_runner.ts";
 import type { SiteConfig } from "./site_config.ts";
 
-/** Handles requests of callers. */
+/** Handles requests from callers. */
 export interface RequestHandler {
   handlePipeline(exchange: Exchange, name: string): Promise<void>;
   handleService(
@@ -75,31 +76,31 @@
 export interface RequestHandlerOptions {
   credentials: CredentialsCheck;
   readSite: () => SiteConfig | undefined;
-  guard: OnceGuard;
-  /** Undefined where everything is admitted, to compare with. */
+  guard: AtMostOnceGuard;
+  /** Undefined for the baselines, which admit everything. */
   admission: Admission | undefined;
   attainment: AttainmentTracker;
   pools: PoolSet;
   pipelines: PipelineRunner;
   services: ServiceRunner;
   execution: RequestExecution;
-  /** Whether new requests are refused because this entry ends. */
+  /** Whether new requests are refused because this entry is stopping. */
   isStopping: () => boolean;
 }
 
-/** What a request asks for, after its head and body were checked. */
+/** A request whose head and body are valid. */
 interface CheckedRequest {
   head: RequestHead;
   id: RequestId;
   site: SiteConfig;
   className: string;
-  /** The longest time allowed for what is asked. */
+  /** The longest deadline allowed for the pipeline or service. */
   maxDeadline: Millis;
   forecast(priority: number): StageForecast[];
-  execute(run: RequestRun): Promise<ExecutedRequest>;
+  execute(run: RequestRun): Promise<ExecutionResult>;
 }
 
-/** Creates the handler of one entry. */
+/** Creates the request handler of one entry. */
 export function createRequestHandler(
   context: EntryContext,
   options: RequestHandlerOptions,
@@ -112,9 +113,9 @@
     name: string,
   ): Promise<void> {
     const opened = openRequest(exchange);
-    if (opened.isErr) return refuseUnread(exchange, opened.error);
+    if (opened.isErr) return refuseWithoutBody(exchange, opened.error);
     const { head, site, id } = opened.value;
-    const body = await readBodyOrFail(exchange);
+    const body = await readBodyOrRefuse(exchange);
     if (body === undefined) return;
     const pipeline = site.findPipeline(name);
     if (pipeline === undefined) {
@@ -142,7 +143,7 @@
             pipeline,
             body: parsed.data,
           })
-          : execution.runWhole({ run, pipeline, body: parsed.data }),
+          : execution.runBuffered({ run, pipeline, body: parsed.data }),
     });
   }
 
@@ -151,9 +152,9 @@
     { name, path }: { name: string; path: string },
   ): Promise<void> {
     const opened = openRequest(exchange);
-    if (opened.isErr) return refuseUnread(exchange, opened.error);
+    if (opened.isErr) return refuseWithoutBody(exchange, opened.error);
     const { head, site, id } = opened.value;
-    const body = await readBodyOrFail(exchange);
+    const body = await readBodyOrRefuse(exchange);
     if (body === undefined) return;
     const service = site.findService(name);
     if (service === undefined) {
@@ -177,11 +178,11 @@
     });
   }
 
-  async function readBodyOrFail({ request, response }: Exchange) {
+  async function readBodyOrRefuse({ request, response }: Exchange) {
     const outcome = await readBody(request, settings.limits.maxBodyBytes);
     if (outcome.kind === "whole") return outcome.body;
     if (outcome.kind === "cut") return undefined;
-    refuseUnread(
+    refuseWithoutBody(
       { request, response },
       createFailure("too_large", {
         verdict: "not_run",
@@ -197,18 +198,18 @@
       const site = options.readSite();
       if (site === undefined) {
         return Result.err<OpenedRequest, Failure>(
-          weaken(failNotReady(), head),
+          weakenVerdict(failNotReady(), head),
         );
       }
       return Result.ok<OpenedRequest, Failure>({
         head,
         site,
-        id: head.id ?? createOwnId(),
+        id: head.id ?? generateRequestId(),
       });
     });
   }
 
-  function createOwnId(): RequestId {
+  function generateRequestId(): RequestId {
     const expiresAt = Math.floor(clock.now() + settings.timing.bindingMs);
     const text = formatBoundId(
       formatBinding(incarnation, expiresAt),
@@ -217,7 +218,7 @@
     return { kind: "bound", text, incarnation, expiresAt };
   }
 
-  /** Guards, admits, runs and answers a request whose form is good. */
+  /** Checks for duplicates, admits, runs and answers a valid request. */
   async function serve(
     exchange: Exchange,
     checked: CheckedRequest,
@@ -261,7 +262,7 @@
   async function runOnce(
     run: RequestRun,
     checked: CheckedRequest,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     const decision = await options.guard.begin({
       account: run.account,
       id: checked.id,
@@ -273,28 +274,29 @@
     if (decision.value.kind === "answered") {
       return { kind: "answer", answer: decision.value.answer };
     }
-    const owned = decision.value.run;
+    const runHandle = decision.value.run;
     const outcome = await runAdmitted(run, checked);
-    keepOutcome(owned, { outcome, run });
+    storeOutcome(runHandle, { outcome, run });
     return outcome;
   }
 
   async function runAdmitted(
     run: RequestRun,
     checked: CheckedRequest,
-  ): Promise<ExecutedRequest> {
+  ): Promise<ExecutionResult> {
     if (options.isStopping()) {
       return { kind: "failed", failure: failStopping() };
     }
-    // The claim may have taken until the deadline, or the process was frozen.
+    // The deadline may have passed while the claim was pending or the process
+    // was paused.
     if (run.deadline.hasPassed()) {
-      return { kind: "failed", failure: failTooLate() };
+      return { kind: "failed", failure: failDeadlinePassed() };
     }
     const admitted = admit(run, checked);
     if (admitted.isErr) return { kind: "failed", failure: admitted.error };
     const budget = run.deadline.remaining();
     const outcome = await checked.execute(run);
-    admitted.value?.end(describeEnd(outcome, { run, budget }));
+    admitted.value?.end(classifyForAdmission(outcome, { run, budget }));
     return outcome;
   }
 
@@ -311,8 +313,8 @@
   }
 
   /**
-   * Stops the work when the caller goes away. A non-idempotent request goes on:
-   * it may have run already, and whoever asks again gets its outcome.
+   * Cancels an idempotent request when its caller disconnects. A non-idempotent
+   * request continues, as it may have run already; a retry gets its outcome.
    */
   function watchCaller({ response }: Exchange, run: RequestRun): () => void {
     const onClose = () => {
@@ -328,7 +330,7 @@
     { response }: Exchange,
     { run, outcome, receivedAt }: {
       run: RequestRun;
-      outcome: ExecutedRequest;
+      outcome: ExecutionResult;
       receivedAt: Millis;
     },
   ): void {
@@ -358,8 +360,8 @@
     );
   }
 
-  /** Refuses before the body was read, so the connection cannot be kept. */
-  function refuseUnread(exchange: Exchange, failure: Failure): void {
+  /** Refuses before the body is read, so the connection must be closed. */
+  function refuseWithoutBody(exchange: Exchange, failure: Failure): void {
     exchange.response.setHeader("connection", "close");
     refuse(exchange, failure);
   }
@@ -369,10 +371,12 @@
     failure: Failure,
     head?: RequestHead,
   ): void {
-    const shown = head === undefined ? failure : weaken(failure, head);
-    metrics.countRefusal(shown.kind);
-    const sending: SendAnswerOptions = { retryAfterMs: shown.retryAfterMs };
-    sendAnswer(response, createFailureAnswer(shown), sending);
+    const reported = head === undefined
+      ? failure
+      : weakenVerdict(failure, head);
+    metrics.countRefusal(reported.kind);
+    const sending: SendAnswerOptions = { retryAfterMs: reported.retryAfterMs };
+    sendAnswer(response, createFailureAnswer(reported), sending);
   }
 
   return { handlePipeline, handleService };
@@ -384,14 +388,14 @@
   id: RequestId;
 }
 
-function keepOutcome(
+function storeOutcome(
   owned: RunHandle<StoredAnswer>,
-  { outcome, run }: { outcome: ExecutedRequest; run: RequestRun },
+  { outcome, run }: { outcome: ExecutionResult; run: RequestRun },
 ): void {
-  const answer = createRememberedAnswer(outcome, run);
-  // Only what certainly did not run may be run by a later attempt.
-  const isUntouched = outcome.kind === "failed" &&
+  const answer = createStoredAnswer(outcome, run);
+  // A later attempt may run the request only if it certainly did not run.
+  const isNotRun = outcome.kind === "failed" &&
     outcome.failure.verdict === "not_run";
-  if (isUntouched) owned.abandon(answer);
+  if (isNotRun) owned.abandon(answer);
   else owned.finish(answer);
 }
--- a/packages/entry/src/second_attempts.ts
+++ b/packages/entry/src/second_attempts.ts
@@ -1,5 +1,5 @@
 /**
- * When second attempts are made, by policy.
+ * The policies for second attempts.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 import type { EntrySettings } from "./entry_settings.ts";
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
 
-/** A hedge starts only when an attempt is far slower than one in twenty. */
+/** A hedge starts after this multiple of the 95th percentile of the latency. */
 const HEDGE_FACTOR = 3;
 const MIN_HEDGE_DELAY: Millis = 100;
-/** The baselines give up an attempt after this time and try again. */
-const PLAIN_ATTEMPT_TIMEOUT: Millis = 2_000;
+/** Time-out of one attempt of the baselines, which then retry. */
+const BASELINE_ATTEMPT_TIMEOUT: Millis = 2_000;
 
-/** Creates the policy of an entry. */
+/** Creates the second-attempt policy of an entry. */
 export function createSecondAttemptPolicy(
   policy: EntrySettings["policy"],
   { budget }: { budget: RetryBudget },
 ): SecondAttemptPolicy {
-  if (policy !== "mangoreach") return createPlainRetries();
+  if (policy !== "mangoreach") return createBaselinePolicy();
   return {
     budget,
     computeHedgeDelay: (pool, size) =>
@@ -28,11 +28,11 @@
   };
 }
 
-/** Retries without a budget, as the baselines make them. */
-function createPlainRetries(): SecondAttemptPolicy {
+/** Creates the policy of the baselines: retries without a budget. */
+function createBaselinePolicy(): SecondAttemptPolicy {
   return {
     budget: { balance: Infinity, deposit() {}, withdraw: () => true },
     computeHedgeDelay: () => undefined,
-    attemptTimeout: PLAIN_ATTEMPT_TIMEOUT,
+    attemptTimeout: BASELINE_ATTEMPT_TIMEOUT,
   };
 }
--- a/packages/entry/src/service_runner.ts
+++ b/packages/entry/src/service_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one call of a plain service.
+ * Runs service calls, which have a single stage.
  *
  * @module
  */
@@ -13,9 +13,9 @@
 import type { PoolSet } from "./pool_set.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { SecondAttemptPolicy } from "./stage_attempts.ts";
-import { createGivenUpFailure, runAttempts } from "./stage_attempts.ts";
+import { createAbortedFailure, runAttempts } from "./stage_attempts.ts";
 
-/** A service call that was admitted. */
+/** An admitted service call. */
 export interface ServiceTask {
   run: RequestRun;
   service: ServiceConfig;
@@ -40,7 +40,7 @@
   policy: SecondAttemptPolicy;
 }
 
-/** Creates the runner of one entry. */
+/** Creates the service runner of one entry. */
 export function createServiceRunner(
   { clock, timeline, metrics }: EntryContext,
   { pools, services, policy }: ServiceRunnerOptions,
@@ -63,7 +63,7 @@
         reservedTime: 0,
       },
       policy,
-      keepsPermit: false,
+      retainsPermit: false,
       send: async ({ endpoint, number, signal }) => {
         const subject = {
           request: run.id,
@@ -96,7 +96,7 @@
       .map(({ value }) => value)
       .mapErr((failure) =>
         run.deadline.signal.aborted
-          ? createGivenUpFailure(run)
+          ? createAbortedFailure(run)
           : { ...failure, verdict: run.verdict }
       );
   }
