--- a/packages/log/src/log_client.ts
+++ b/packages/log/src/log_client.ts
@@ -52,7 +52,7 @@
 const OK = 200;
 const NOT_APPENDED = new Set([400, 404, 413, 429, 503]);
 /** How much longer than the asked waiting time a read may take. */
-const READ_SLACK: Millis = 2_000;
+const READ_TIMEOUT_MARGIN: Millis = 2_000;
 
 /** Creates the handle; it connects on the first call. */
 export function createLogClient(
@@ -90,7 +90,7 @@
     stream: LogStream,
     { from, waitMs, signal }: ReadOptions,
   ): Promise<Result<LogPage, Failure>> {
-    const timeout = startTimeout(clock, waitMs + READ_SLACK);
+    const timeout = startTimeout(clock, waitMs + READ_TIMEOUT_MARGIN);
     const reply = await http.call({
       method: "GET",
       address,
--- a/packages/log/src/log_tail.ts
+++ b/packages/log/src/log_tail.ts
@@ -40,8 +40,8 @@
 }
 
 const DEFAULT_WAIT: Millis = 10_000;
-const FIRST_PAUSE: Millis = 100;
-const LONGEST_PAUSE: Millis = 2_000;
+const INITIAL_BACKOFF: Millis = 100;
+const MAX_BACKOFF: Millis = 2_000;
 
 /** Starts to follow a stream; observers must subscribe before they await. */
 export function startLogTail(options: LogTailOptions): LogTail {
@@ -56,7 +56,7 @@
   subject: Subject<TailEvent>,
 ): Promise<void> {
   let next = from;
-  let pause = FIRST_PAUSE;
+  let backoff = INITIAL_BACKOFF;
   let hasCaughtUp = false;
   while (!signal.aborted) {
     // The first read must not wait: whoever starts wants to know the end.
@@ -66,11 +66,11 @@
     if (page.isErr) {
       subject.push({ kind: "away", message: page.error.message });
       hasCaughtUp = false;
-      await clock.sleep(pause * (0.5 + random()), signal);
-      pause = Math.min(LONGEST_PAUSE, 2 * pause);
+      await clock.sleep(backoff * (0.5 + random()), signal);
+      backoff = Math.min(MAX_BACKOFF, 2 * backoff);
       continue;
     }
-    pause = FIRST_PAUSE;
+    backoff = INITIAL_BACKOFF;
     next = pushPage(subject, { page: page.value, next });
     hasCaughtUp = page.value.records.length === 0 || hasCaughtUp;
     if (hasCaughtUp) subject.push({ kind: "caught_up", next });
--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -74,26 +74,26 @@
 /** Introductions take as much as ten heartbeats each. */
 const MAX_INTRODUCTIONS = 4;
 /** So many to who knows fewer entries, one more for each that it lacks. */
-const MAX_CATCHING_UP = 16;
+const MAX_CATCH_UP_INTRODUCTIONS = 16;
 const MAX_MARKS = 8;
 const MAX_LIMITS = 16;
 const MAX_SUSPICIONS = 8;
 /** The shortest time between two heartbeats, as a share of the interval. */
-const SHORTEST_PAUSE = 0.75;
-const PEERS_TOLD_AT_ONCE = 3;
+const MIN_INTERVAL_SHARE = 0.75;
+const NOTIFY_FANOUT = 3;
 /** While an entry knows nobody, it tries this often. */
-const LONELY_INTERVAL: Millis = 200;
+const DISCOVERY_INTERVAL: Millis = 200;
 /** An entry is told on for this long after it became known here. */
-const NEWS_LIFETIME: Millis = 15_000;
+const INTRODUCTION_PERIOD: Millis = 15_000;
 /** Share of exchanges with listed entries that are not yet known. */
-const STRANGER_SHARE = 0.5;
+const UNKNOWN_SEED_SHARE = 0.5;
 
 /** Starts to exchange peer state. */
 export function startExchangeLoop(options: ExchangeLoopOptions): ExchangeLoop {
   const { clock, random, signal, membership } = options;
 
   /** When each incarnation became known here. */
-  const introducedAt = new Map<string, Millis>();
+  const discoveredAt = new Map<string, Millis>();
 
   function createMessage(
     introductions: readonly PeerRecord[],
@@ -123,7 +123,7 @@
    * any of the records if it knows fewer entries. Each that a partner knows
    * already costs as much as ten heartbeats.
    */
-  function listLacking(
+  function listMissing(
     { heartbeats, known }: PeerExchange,
     records: readonly PeerRecord[],
   ): PeerRecord[] {
@@ -131,7 +131,7 @@
     const others = membership.list().map(({ record }) => record);
     const now = clock.now();
     const recent = others.filter(({ incarnation }) =>
-      now - (introducedAt.get(incarnation) ?? -Infinity) < NEWS_LIFETIME
+      now - (discoveredAt.get(incarnation) ?? -Infinity) < INTRODUCTION_PERIOD
     );
     const lacked = Math.max(0, others.length - known);
     const lacking = new Set([
@@ -141,27 +141,30 @@
     ]);
     return [...lacking]
       .filter(({ incarnation }) => !told.has(incarnation))
-      .slice(0, Math.min(MAX_CATCHING_UP, MAX_INTRODUCTIONS + lacked));
+      .slice(
+        0,
+        Math.min(MAX_CATCH_UP_INTRODUCTIONS, MAX_INTRODUCTIONS + lacked),
+      );
   }
 
-  function takeIntroductions(
+  function applyIntroductions(
     records: readonly PeerRecord[],
     known: ReadonlyMap<string, PeerRecord>,
   ): void {
     const now = clock.now();
-    for (const [incarnation, at] of introducedAt) {
-      if (now - at > NEWS_LIFETIME) introducedAt.delete(incarnation);
+    for (const [incarnation, at] of discoveredAt) {
+      if (now - at > INTRODUCTION_PERIOD) discoveredAt.delete(incarnation);
     }
     for (const record of membership.merge(records)) {
       // A partner introduces itself each time: only the first is news to pass on.
       if (!known.has(record.incarnation)) {
-        introducedAt.set(record.incarnation, now);
+        discoveredAt.set(record.incarnation, now);
       }
       options.onIntroduced(record);
     }
   }
 
-  function takeMessage(message: PeerExchange): void {
+  function applyMessage(message: PeerExchange): void {
     options.onBytes("in", JSON.stringify(message).length);
     const known = new Map(
       membership.list().map(({ record }) => [record.incarnation, record]),
@@ -171,7 +174,7 @@
         const record = known.get(heartbeat.incarnation);
         return record === undefined ? [] : [{ ...record, ...heartbeat }];
       });
-    takeIntroductions(message.introductions, known);
+    applyIntroductions(message.introductions, known);
     membership.merge(updates).forEach(options.onHeartbeat);
     for (const [incarnation, heartbeat] of message.unreached ?? []) {
       membership.markSuspected({ incarnation, heartbeat });
@@ -182,9 +185,9 @@
   }
 
   function answer(message: PeerExchange): PeerExchange {
-    takeMessage(message);
+    applyMessage(message);
     const records = membership.chooseRecords(MAX_RECORDS);
-    return createMessage(listLacking(message, records), records);
+    return createMessage(listMissing(message, records), records);
   }
 
   async function exchangeWith(address: string): Promise<void> {
@@ -194,10 +197,10 @@
     const message = createMessage(records.slice(0, 1), records);
     const reply = await options.exchange(address, message);
     if (reply.isErr) {
-      void checkPartner(address);
+      void checkPeer(address);
       return options.onUnanswered(address);
     }
-    takeMessage(reply.value);
+    applyMessage(reply.value);
     await options.onReply(reply.value, address);
   }
 
@@ -205,7 +208,7 @@
    * One that is only short of processor still takes connections. A partner that
    * does not has ended or is cut off, and callers are not sent there.
    */
-  async function checkPartner(address: string): Promise<void> {
+  async function checkPeer(address: string): Promise<void> {
     const partner = membership.list()
       .find(({ record }) => record.controlAddress === address);
     if (partner === undefined) return;
@@ -213,7 +216,9 @@
     if (listening === "listening") return;
     const { incarnation, heartbeat } = partner.record;
     // Others may have heard of it later than this entry has.
-    const missed = Math.ceil(partner.age / (SHORTEST_PAUSE * options.interval));
+    const missed = Math.ceil(
+      partner.age / (MIN_INTERVAL_SHARE * options.interval),
+    );
     membership.markSuspected({ incarnation, heartbeat: heartbeat + missed });
   }
 
@@ -225,7 +230,8 @@
     const strangers = options.listSeeds().filter((address) =>
       address !== membership.self.controlAddress && !known.has(address)
     );
-    const isStrangersTurn = partner === undefined || random() < STRANGER_SHARE;
+    const isStrangersTurn = partner === undefined ||
+      random() < UNKNOWN_SEED_SHARE;
     if (!isStrangersTurn || strangers.length === 0) return partner;
     return strangers[Math.floor(random() * strangers.length)];
   }
@@ -236,13 +242,14 @@
       const address = chooseAddress();
       if (address !== undefined) await exchangeWith(address);
       const isAlone = membership.list().length === 0;
-      const interval = isAlone ? LONELY_INTERVAL : options.interval;
-      const share = SHORTEST_PAUSE + random() * (1 - SHORTEST_PAUSE) * 2;
+      const interval = isAlone ? DISCOVERY_INTERVAL : options.interval;
+      const share = MIN_INTERVAL_SHARE +
+        random() * (1 - MIN_INTERVAL_SHARE) * 2;
       await clock.sleep(interval * share, signal);
     }
   }
 
-  async function tellPeers(count = PEERS_TOLD_AT_ONCE): Promise<void> {
+  async function tellPeers(count = NOTIFY_FANOUT): Promise<void> {
     membership.beat({});
     const alive = membership.list()
       .filter(({ health }) => health === "alive");
--- a/packages/peers/src/peer_caller.ts
+++ b/packages/peers/src/peer_caller.ts
@@ -6,8 +6,8 @@
  */
 import type { Failure } from "@mangoreach/coordination";
 import { createFailure } from "@mangoreach/coordination";
-import type { Clock, KeptConnections, Millis } from "@mangoreach/shared";
-import { createKeptConnections } from "@mangoreach/shared";
+import type { Clock, Millis, PersistentConnections } from "@mangoreach/shared";
+import { createPersistentConnections } from "@mangoreach/shared";
 import type { TRPCClient } from "@trpc/client";
 import { createTRPCClient, TRPCClientError } from "@trpc/client";
 import type { AnyTRPCRouter } from "@trpc/server";
@@ -25,7 +25,7 @@
 }
 
 /** One question to a peer. */
-export interface PeerQuestion<T> {
+export interface PeerRequest<T> {
   /** A control address, `ip:port`. */
   address: string;
   /** Checks the reply. */
@@ -43,8 +43,8 @@
 
 /** Calls the procedures of one router at any peer. */
 export interface PeerCaller<R extends AnyTRPCRouter> {
-  ask<T>(
-    question: PeerQuestion<T>,
+  request<T>(
+    question: PeerRequest<T>,
     send: (
       client: TRPCClient<R>,
       options: PeerCallOptions,
@@ -63,9 +63,9 @@
 export function createPeerCaller<R extends AnyTRPCRouter>(
   { clock, siteKey, connectTimeout }: PeerCallerOptions,
 ): PeerCaller<R> {
-  const kept = createKeptConnections({
+  const kept = createPersistentConnections({
     keepAlive: KEEP_ALIVE,
-    longestKeepAlive: KEEP_ALIVE,
+    maxKeepAlive: KEEP_ALIVE,
     connectTimeout,
   });
   // In place of trpc's HTTP link, whose fetch and headers of the standard cost
@@ -83,8 +83,8 @@
     ],
   });
 
-  async function ask<T>(
-    { address, schema, timeout, signal }: PeerQuestion<T>,
+  async function request<T>(
+    { address, schema, timeout, signal }: PeerRequest<T>,
     send: (
       client: TRPCClient<R>,
       options: PeerCallOptions,
@@ -94,7 +94,7 @@
     const abort = () => controller.abort();
     const stopTimer = clock.startTimer(timeout, () => {
       abort();
-      kept.noteUnanswered(address);
+      kept.discard(address);
     });
     signal?.addEventListener("abort", abort, { once: true });
     if (signal?.aborted) abort();
@@ -113,14 +113,14 @@
     }
   }
 
-  return { ask, close: kept.close };
+  return { request, close: kept.close };
 }
 
 interface OutgoingCall {
   /** Holds the address, as it was given with the call. */
   context: Record<string, unknown>;
   siteKey: string;
-  kept: KeptConnections;
+  kept: PersistentConnections;
   type: string;
   path: string;
   input: unknown;
@@ -136,7 +136,7 @@
   const query = isQuery && text !== undefined
     ? `?input=${encodeURIComponent(text)}`
     : "";
-  const { body } = await kept.find(String(context.address)).request({
+  const { body } = await kept.getPool(String(context.address)).request({
     path: `${PEER_PATH}${path}${query}`,
     method: isQuery ? "GET" : "POST",
     headers: {
--- a/packages/peers/src/peer_client.ts
+++ b/packages/peers/src/peer_client.ts
@@ -49,16 +49,16 @@
     siteKey,
     connectTimeout: timeoutMs,
   });
-  const { ask } = caller;
+  const { request } = caller;
 
   return {
     exchange: (address, message) =>
-      ask(
+      request(
         { address, schema: exchangeSchema, timeout: timeoutMs },
         (client, options) => client.exchange.mutate(message, options),
       ),
     readConfig: async (address) => {
-      const reply = await ask(
+      const reply = await request(
         {
           address,
           schema: configInForceSchema.nullable(),
@@ -69,7 +69,7 @@
       return reply.map((config) => config ?? undefined);
     },
     askOutcome: (address, question) =>
-      ask(
+      request(
         {
           address,
           schema: outcomeReplySchema,
--- a/packages/peers/src/peer_procedure.ts
+++ b/packages/peers/src/peer_procedure.ts
@@ -62,11 +62,11 @@
 ): RequestListener {
   return (request, response) => {
     const context = { isPeer: isPeer(request) };
-    void answerCall(router, { request, response, context });
+    void handleCall(router, { request, response, context });
   };
 }
 
-async function answerCall(
+async function handleCall(
   router: AnyTRPCRouter,
   { request, response, context }: {
     request: IncomingMessage;
--- a/packages/peers/src/peer_protocol.ts
+++ b/packages/peers/src/peer_protocol.ts
@@ -5,7 +5,7 @@
  */
 import type { PeerRecord } from "@mangoreach/coordination";
 import * as z from "zod";
-import { poisonNewsSchema } from "./run_protocol.ts";
+import { poisonUpdateSchema } from "./run_protocol.ts";
 
 const stateSchema = z.enum(["live", "unready", "leaving"]);
 
@@ -76,7 +76,7 @@
   isSaid: z.boolean().default(false),
 });
 
-const limitNewsSchema = z.object({
+const limitUpdateSchema = z.object({
   endpointKey: z.string(),
   rateLimit: z.number().min(0).nullable(),
   age: z.number().min(0),
@@ -90,21 +90,21 @@
   introductions: z.array(introductionSchema).max(MAX_RECORDS),
   leaving: z.array(leavingMarkSchema).max(MAX_RECORDS),
   /** What endpoints said of their limits; left out while none has named one. */
-  limits: z.array(limitNewsSchema).max(MAX_RECORDS).optional(),
+  limits: z.array(limitUpdateSchema).max(MAX_RECORDS).optional(),
   /** How many other entries the sender knows. */
   known: z.number().int().min(0),
   /** Incarnations that could not be reached, and their last heartbeats. */
   unreached: z.array(z.tuple([z.string(), z.number().int()]))
     .max(MAX_RECORDS).optional(),
   /** Left out while nothing is suspected. */
-  poison: poisonNewsSchema.optional(),
+  poison: poisonUpdateSchema.optional(),
 });
 
 /** One exchange of peer state. */
 export type PeerExchange = z.infer<typeof exchangeSchema>;
 
 /** A question about a non-idempotent request that only the asked may run. */
-export const outcomeQuestionSchema = z.object({
+export const outcomeQuerySchema = z.object({
   account: z.string(),
   id: z.string(),
   /** Until when the asked must remember its answer. */
@@ -114,7 +114,7 @@
 });
 
 /** A question about a non-idempotent request. */
-export type OutcomeQuestion = z.infer<typeof outcomeQuestionSchema>;
+export type OutcomeQuestion = z.infer<typeof outcomeQuerySchema>;
 
 /** An answer as it went to the caller, for one who asks again. */
 export const storedAnswerSchema = z.object({
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -15,7 +15,7 @@
   createRouterListener,
   peerProcedure,
 } from "./peer_procedure.ts";
-import { exchangeSchema, outcomeQuestionSchema } from "./peer_protocol.ts";
+import { exchangeSchema, outcomeQuerySchema } from "./peer_protocol.ts";
 
 /** What an entry does for its peers. */
 export interface PeerHandlers {
@@ -30,7 +30,7 @@
     exchange: peerProcedure.input(exchangeSchema)
       .mutation(({ input }) => handlers.exchange(input)),
     config: peerProcedure.query(() => handlers.readConfig()),
-    outcome: peerProcedure.input(outcomeQuestionSchema)
+    outcome: peerProcedure.input(outcomeQuerySchema)
       .mutation(({ input }) => handlers.answerOutcome(input)),
   });
 }
--- a/packages/peers/src/piece_protocol.ts
+++ b/packages/peers/src/piece_protocol.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as z from "zod";
-import { endpointEndSchema } from "./run_protocol.ts";
+import { endpointCrashSchema } from "./run_protocol.ts";
 
 /** What a piece is made from: the request's own key, or earlier results. */
 const pieceSourceSchema = z.discriminatedUnion("kind", [
@@ -71,7 +71,7 @@
 export type PieceOutcome = z.infer<typeof pieceOutcomeSchema>;
 
 /** Asks what new pieces would wait. */
-export const waitsQuestionSchema = z.object({
+export const waitsQuerySchema = z.object({
   pool: z.string(),
   partition: z.string(),
   /** 0 is the highest. */
@@ -79,7 +79,7 @@
 });
 
 /** Asks what new pieces would wait. */
-export type WaitsQuestion = z.infer<typeof waitsQuestionSchema>;
+export type WaitsQuestion = z.infer<typeof waitsQuerySchema>;
 
 /** Expected waits of new pieces of one priority, in milliseconds. */
 export const pieceWaitsSchema = z.object({
@@ -96,7 +96,7 @@
   /** The inputs are freed already. */
   freedInputs: z.boolean(),
   /** Endpoints that ended during calls with its pieces; left out if none. */
-  ends: z.array(endpointEndSchema).optional(),
+  ends: z.array(endpointCrashSchema).optional(),
 });
 
 /** The outcomes of a run, in the order of its pieces. */
--- a/packages/peers/src/run_protocol.ts
+++ b/packages/peers/src/run_protocol.ts
@@ -9,7 +9,7 @@
 const MAX_ENDPOINT_KEYS = 16;
 
 /** An endpoint that ended during a run. */
-export const endpointEndSchema = z.object({
+export const endpointCrashSchema = z.object({
   endpointKey: z.string(),
   /** Milliseconds since it was sent to the endpoint. */
   sentAgo: z.number().min(0),
@@ -18,10 +18,10 @@
 });
 
 /** An endpoint that ended during a run. */
-export type EndpointEnd = z.infer<typeof endpointEndSchema>;
+export type EndpointEnd = z.infer<typeof endpointCrashSchema>;
 
 /** A request during which its endpoint ended. */
-const endedRunSchema = endpointEndSchema.extend({
+const crashedRunSchema = endpointCrashSchema.extend({
   /** The digest of what was asked for. */
   content: z.string(),
 });
@@ -43,7 +43,7 @@
 
 /** Runs that an entry tells to those that keep count for their contents. */
 export const runReportSchema = z.object({
-  ended: z.array(endedRunSchema).max(MAX_ROWS),
+  ended: z.array(crashedRunSchema).max(MAX_ROWS),
   /** Suspected contents that have completed since. */
   completed: z.array(z.string()).max(MAX_ROWS),
 });
@@ -60,10 +60,10 @@
 export type RunReportReply = z.infer<typeof runReportReplySchema>;
 
 /** What entries pass on to each other of what is turned away or suspected. */
-export const poisonNewsSchema = z.object({
+export const poisonUpdateSchema = z.object({
   quarantined: z.array(quarantinedSchema).max(MAX_ROWS),
   suspected: z.array(suspectedSchema).max(MAX_ROWS),
 });
 
 /** What entries pass on to each other of what is turned away or suspected. */
-export type PoisonNews = z.infer<typeof poisonNewsSchema>;
+export type PoisonNews = z.infer<typeof poisonUpdateSchema>;
--- a/packages/peers/src/serving_peers.ts
+++ b/packages/peers/src/serving_peers.ts
@@ -28,12 +28,12 @@
   pieceRunSchema,
   pieceWaitsSchema,
   releaseSchema,
-  waitsQuestionSchema,
+  waitsQuerySchema,
 } from "./piece_protocol.ts";
 import type { RunReport, RunReportReply } from "./run_protocol.ts";
 import { runReportReplySchema, runReportSchema } from "./run_protocol.ts";
 import type { TopicNews, TopicQuestion } from "./topic_protocol.ts";
-import { topicNewsListSchema, topicQuestionsSchema } from "./topic_protocol.ts";
+import { topicRepliesSchema, topicRequestsSchema } from "./topic_protocol.ts";
 
 /** What an entry does for its peers. */
 export interface ServingPeerHandlers {
@@ -59,11 +59,11 @@
         handlers.runPieces(input, signal ?? new AbortController().signal)
       ),
     ping: peerProcedure.query(() => null),
-    readWaits: peerProcedure.input(waitsQuestionSchema)
+    readWaits: peerProcedure.input(waitsQuerySchema)
       .query(({ input }) => handlers.readWaits(input)),
     reportRuns: peerProcedure.input(runReportSchema)
       .mutation(({ input }) => handlers.reportRuns(input)),
-    readTopics: peerProcedure.input(topicQuestionsSchema)
+    readTopics: peerProcedure.input(topicRequestsSchema)
       .query(({ input }) => handlers.readTopics(input)),
     readConfig: peerProcedure.query(() => handlers.readConfig()),
     releaseResults: peerProcedure.input(releaseSchema)
@@ -126,13 +126,13 @@
 const PING_TIMEOUT: Millis = 1_000;
 
 /** A feeder answers a little after the results are of no use any more. */
-const RUN_SLACK: Millis = 250;
+const RUN_TIMEOUT_MARGIN: Millis = 250;
 
 /** Admission waits for the answer, and does without it after this time. */
 const WAITS_TIMEOUT: Millis = 100;
 
 /** An entry that answers later than it should is paused or cut off. */
-const TOPIC_SLACK: Millis = 300;
+const TOPIC_TIMEOUT_MARGIN: Millis = 300;
 
 /** Creates the handle. */
 export function createServingPeerClient(
@@ -151,51 +151,51 @@
 
   return {
     exchange: (address, message) =>
-      caller.ask(
+      caller.request(
         { address, schema: exchangeSchema, timeout },
         (client, options) => client.exchange.mutate(message, options),
       ),
     ping: (address) =>
-      caller.ask(
+      caller.request(
         { address, schema: z.null(), timeout: PING_TIMEOUT },
         (client, options) => client.ping.query(undefined, options),
       ),
     runPieces: (address, run, signal) =>
-      caller.ask(
+      caller.request(
         {
           address,
           schema: pieceRunReplySchema,
-          timeout: run.remaining + RUN_SLACK,
+          timeout: run.remaining + RUN_TIMEOUT_MARGIN,
           signal,
         },
         (client, options) => client.runPieces.mutate(run, options),
       ),
     readWaits: (address, question) =>
-      caller.ask(
+      caller.request(
         { address, schema: pieceWaitsSchema, timeout: WAITS_TIMEOUT },
         (client, options) => client.readWaits.query(question, options),
       ),
     releaseResults: (address, release) =>
-      caller.ask(
+      caller.request(
         { address, schema: z.null(), timeout },
         (client, options) => client.releaseResults.mutate(release, options),
       ),
     reportRuns: (address, report) =>
-      caller.ask(
+      caller.request(
         { address, schema: runReportReplySchema, timeout },
         (client, options) => client.reportRuns.mutate(report, options),
       ),
     readConfig: (address) =>
-      caller.ask(
+      caller.request(
         { address, schema: z.string().nullable(), timeout: CONFIG_TIMEOUT },
         (client, options) => client.readConfig.query(undefined, options),
       ),
     readTopics: (address, questions) =>
-      caller.ask(
+      caller.request(
         {
           address,
-          schema: topicNewsListSchema,
-          timeout: computeShortestWait(questions) + TOPIC_SLACK,
+          schema: topicRepliesSchema,
+          timeout: computeMinWait(questions) + TOPIC_TIMEOUT_MARGIN,
         },
         (client, options) => client.readTopics.query([...questions], options),
       ),
@@ -204,7 +204,7 @@
 }
 
 /** The first question that is answered ends the others. */
-function computeShortestWait(questions: readonly TopicQuestion[]): Millis {
+function computeMinWait(questions: readonly TopicQuestion[]): Millis {
   return Math.min(
     ...questions.map(({ wait, confirmWait }) => wait + confirmWait),
   );
--- a/packages/peers/src/topic_protocol.ts
+++ b/packages/peers/src/topic_protocol.ts
@@ -12,7 +12,7 @@
 /** The configuration, what endpoints say about themselves, and the entries. */
 export type TopicName = z.infer<typeof topicNameSchema>;
 
-const LONGEST_WAIT = 10_000;
+const MAX_WAIT = 10_000;
 
 const offsetSchema = z.number().int().min(0);
 
@@ -25,27 +25,27 @@
 });
 
 /** Asks for the records from a position on. */
-export const topicQuestionSchema = z.object({
+export const topicRequestSchema = z.object({
   topic: topicNameSchema,
   from: positionSchema,
   /** Milliseconds to wait for the first record; with 0 an answer comes at once. */
-  wait: z.number().min(0).max(LONGEST_WAIT),
+  wait: z.number().min(0).max(MAX_WAIT),
   /**
    * So many milliseconds longer an answer without records waits until the asked
    * entry's knowledge is confirmed anew.
    */
-  confirmWait: z.number().min(0).max(LONGEST_WAIT),
+  confirmWait: z.number().min(0).max(MAX_WAIT),
 });
 
 /** Asks for the records from a position on. */
-export type TopicQuestion = z.infer<typeof topicQuestionSchema>;
+export type TopicQuestion = z.infer<typeof topicRequestSchema>;
 
 /** One question for each topic at most. */
-const MAX_QUESTIONS = topicNameSchema.options.length;
+const MAX_REQUESTS = topicNameSchema.options.length;
 
 /** Asks about several topics at once; whichever has news first is answered. */
-export const topicQuestionsSchema = z.array(topicQuestionSchema)
-  .min(1).max(MAX_QUESTIONS);
+export const topicRequestsSchema = z.array(topicRequestSchema)
+  .min(1).max(MAX_REQUESTS);
 
 const topicRecordSchema = z.object({
   key: z.string(),
@@ -55,7 +55,7 @@
   offset: offsetSchema.optional(),
 });
 
-const knownSchema = z.object({
+const topicRecordsSchema = z.object({
   records: z.array(topicRecordSchema),
   /** Where to read on. */
   next: positionSchema,
@@ -67,17 +67,17 @@
 });
 
 /** What the asked entry knows. */
-export const topicNewsSchema = z.discriminatedUnion("kind", [
+export const topicReplySchema = z.discriminatedUnion("kind", [
   /** The changes from the position on. */
-  knownSchema.extend({ kind: z.literal("records") }),
+  topicRecordsSchema.extend({ kind: z.literal("records") }),
   /** The newest record of every key: changes from there on are not kept. */
-  knownSchema.extend({ kind: z.literal("newest") }),
+  topicRecordsSchema.extend({ kind: z.literal("newest") }),
   /** It has not read the topic, or not as far as that. */
   z.object({ kind: z.literal("unknown") }),
 ]);
 
 /** What the asked entry knows, in the order of the questions. */
-export const topicNewsListSchema = z.array(topicNewsSchema);
+export const topicRepliesSchema = z.array(topicReplySchema);
 
 /** What the asked entry knows. */
-export type TopicNews = z.infer<typeof topicNewsSchema>;
+export type TopicNews = z.infer<typeof topicReplySchema>;
--- a/packages/shared/src/http_client.ts
+++ b/packages/shared/src/http_client.ts
@@ -14,7 +14,7 @@
 import { buildConnector, Client } from "undici";
 import type { Millis } from "./clock.ts";
 import { parseJson } from "./http_server.ts";
-import { createKeptConnections } from "./kept_connections.ts";
+import { createPersistentConnections } from "./persistent_connections.ts";
 import { TIMED_OUT } from "./timeout.ts";
 
 /** Why a call got no usable answer. */
@@ -95,18 +95,18 @@
   "EADDRNOTAVAIL",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
-const DEFAULT_MAX_REPLY = 4_194_304;
+const DEFAULT_MAX_REPLY_BYTES = 4_194_304;
 const DEFAULT_CONNECT_TIMEOUT: Millis = 1_000;
 
 /** Creates a client; one for each kind of peer. */
 export function createHttpClient(
   {
-    maxReplyBytes = DEFAULT_MAX_REPLY,
+    maxReplyBytes = DEFAULT_MAX_REPLY_BYTES,
     connectTimeoutMs = DEFAULT_CONNECT_TIMEOUT,
     connections = "kept",
   }: Partial<HttpClientOptions> = {},
 ): HttpClient {
-  const kept = createKeptConnections({
+  const kept = createPersistentConnections({
     keepAlive: KEEP_ALIVE,
     connectTimeout: connectTimeoutMs,
   });
@@ -118,22 +118,22 @@
       return Result.err({ kind: "aborted", sent: "no", message: "given up" });
     }
     const link = connections === "single"
-      ? createSingleLink(call.address, connectTimeoutMs)
+      ? createSingleUseConnection(call.address, connectTimeoutMs)
       : undefined;
     try {
       const dispatcher: Dispatcher = link?.dispatcher ??
-        kept.find(call.address);
+        kept.getPool(call.address);
       const { statusCode, headers, body } = await dispatcher.request(
         createRequestOptions(call),
       );
       return Result.ok({
         status: statusCode,
         headers,
-        body: link === undefined ? body : link.createGuarded(body),
+        body: link === undefined ? body : link.wrapBody(body),
       });
     } catch (error) {
       void link?.dispatcher.destroy();
-      if (call.signal?.reason === TIMED_OUT) kept.noteUnanswered(call.address);
+      if (call.signal?.reason === TIMED_OUT) kept.discard(call.address);
       return Result.err(classifyError(error, call.signal));
     }
   }
@@ -155,10 +155,10 @@
 }
 
 /** A connection for one call, which knows how it ended. */
-interface SingleLink {
+interface SingleUseConnection {
   dispatcher: Client;
   /** The body, which fails if the connection was reset. */
-  createGuarded(body: Readable): Readable;
+  wrapBody(body: Readable): Readable;
 }
 
 /**
@@ -169,7 +169,10 @@
  * end two bytes are written, which only a connection that was closed in order
  * still takes.
  */
-function createSingleLink(address: string, timeout: Millis): SingleLink {
+function createSingleUseConnection(
+  address: string,
+  timeout: Millis,
+): SingleUseConnection {
   const connect = buildConnector({ timeout });
   let isReset = false;
   let probe: Promise<void> | undefined;
@@ -177,18 +180,18 @@
   function watchSocket(socket: Socket): void {
     // Or the socket's own end would refuse the probe.
     socket.allowHalfOpen = true;
-    socket.on("error", noteError);
+    socket.on("error", recordError);
     socket.once("end", () => {
       probe = new Promise((resolve) =>
         socket.write(PROBE, (error) => {
-          if (error) noteError(error);
+          if (error) recordError(error);
           resolve();
         })
       );
     });
   }
 
-  function noteError(error: Error): void {
+  function recordError(error: Error): void {
     // undici's own errors, such as for a plain close, come from no call of the
     // system.
     if ("syscall" in error) isReset = true;
@@ -218,7 +221,7 @@
     }
   }
 
-  function createGuarded(body: Readable): Readable {
+  function wrapBody(body: Readable): Readable {
     const guarded = NodeReadable.from(read(body), { objectMode: false });
     // A body that nobody begins to read never enters the generator.
     guarded.once("close", () => {
@@ -229,7 +232,7 @@
     return guarded;
   }
 
-  return { dispatcher, createGuarded };
+  return { dispatcher, wrapBody };
 }
 
 function createRequestOptions(
--- a/packages/shared/src/logger.ts
+++ b/packages/shared/src/logger.ts
@@ -68,21 +68,21 @@
     base: { process },
     redact: [...SECRET_FIELDS, ...SECRET_FIELDS.map((field) => `*.${field}`)],
   }, destination({ dest, ...WRITE_BUFFER }));
-  return createWrapped(root);
+  return wrapLogger(root);
 }
 
 /** Creates a log that drops everything; for tests and embedding. */
 export function createSilentLogger(): Logger {
-  return createWrapped(pino({ level: "silent" }));
+  return wrapLogger(pino({ level: "silent" }));
 }
 
-function createWrapped(logger: PinoLogger): Logger {
+function wrapLogger(logger: PinoLogger): Logger {
   return {
     error: (message, fields = {}) => logger.error(fields, message),
     warn: (message, fields = {}) => logger.warn(fields, message),
     info: (message, fields = {}) => logger.info(fields, message),
     debug: (message, fields = {}) => logger.debug(fields, message),
     forPart: (part) =>
-      createWrapped(logger.child({ part }, { msgPrefix: `${part}: ` })),
+      wrapLogger(logger.child({ part }, { msgPrefix: `${part}: ` })),
   };
 }
--- a/packages/shared/src/mod.ts
+++ b/packages/shared/src/mod.ts
@@ -73,8 +73,8 @@
 } from "./http_client.ts";
 export type { Timeout } from "./timeout.ts";
 export type {
-  KeptConnections,
-  KeptConnectionsOptions,
-} from "./kept_connections.ts";
-export { createKeptConnections } from "./kept_connections.ts";
+  PersistentConnections,
+  PersistentConnectionsOptions,
+} from "./persistent_connections.ts";
+export { createPersistentConnections } from "./persistent_connections.ts";
 export { startTimeout, TIMED_OUT } from "./timeout.ts";
--- a/packages/shared/src/kept_connections.ts
+++ b/packages/shared/src/persistent_connections.ts
@@ -12,38 +12,38 @@
 import type { Millis } from "./clock.ts";
 
 /** The kept connections of one kind of peer. */
-export interface KeptConnections {
+export interface PersistentConnections {
   /** What sends to an address; use it for one call only. */
-  find(address: string): Pool;
+  getPool(address: string): Pool;
   /** A call there got no answer: the next one opens a connection. */
-  noteUnanswered(address: string): void;
+  discard(address: string): void;
   close(): Promise<void>;
 }
 
-/** Options of {@linkcode createKeptConnections}. */
-export interface KeptConnectionsOptions {
+/** Options of {@linkcode createPersistentConnections}. */
+export interface PersistentConnectionsOptions {
   /** How long a connection is kept without a call, unless its server tells. */
   keepAlive: Millis;
   /** The longest time that a server's word is followed; undici's if left out. */
-  longestKeepAlive?: Millis;
+  maxKeepAlive?: Millis;
   connectTimeout: Millis;
 }
 
 /** Creates the connections of a process that has called nobody. */
-export function createKeptConnections(
-  { keepAlive, longestKeepAlive, connectTimeout }: KeptConnectionsOptions,
-): KeptConnections {
+export function createPersistentConnections(
+  { keepAlive, maxKeepAlive, connectTimeout }: PersistentConnectionsOptions,
+): PersistentConnections {
   const pools = new Map<string, Pool>();
 
-  function find(address: string): Pool {
+  function getPool(address: string): Pool {
     const present = pools.get(address);
     if (present !== undefined) return present;
     const pool = new Pool(`http://${address}`, {
       pipelining: 1,
       keepAliveTimeout: keepAlive,
-      ...(longestKeepAlive === undefined
+      ...(maxKeepAlive === undefined
         ? {}
-        : { keepAliveMaxTimeout: longestKeepAlive }),
+        : { keepAliveMaxTimeout: maxKeepAlive }),
       connectTimeout,
       // Deadlines are kept by abort signals, which also cover what undici's own
       // timeouts leave out.
@@ -69,8 +69,8 @@
   }
 
   return {
-    find,
-    noteUnanswered(address) {
+    getPool,
+    discard(address) {
       const pool = pools.get(address);
       if (pool !== undefined) dropPool(address, pool);
     },
--- a/packages/shared/src/kept_connections_test.ts
+++ b/packages/shared/src/persistent_connections_test.ts
@@ -1,6 +1,6 @@
 import type { Socket } from "node:net";
 import { expect } from "chai";
-import { createKeptConnections } from "./kept_connections.ts";
+import { createPersistentConnections } from "./persistent_connections.ts";
 import { readServerAddress, startServer } from "./http_server.ts";
 
 const LIMITS = {
@@ -19,12 +19,12 @@
       else response.end("fast");
     }, { address: { host: "127.0.0.1", port: 0 }, limits: LIMITS });
     const address = readServerAddress(server);
-    const kept = createKeptConnections({
+    const kept = createPersistentConnections({
       keepAlive: 4_000,
       connectTimeout: 1_000,
     });
     const get = async (path: string) => {
-      const { body } = await kept.find(address).request({
+      const { body } = await kept.getPool(address).request({
         path,
         method: "GET",
       });
@@ -38,7 +38,7 @@
     expect(await get("/fast")).to.equal("fast");
     expect(sockets.length).to.equal(2);
     await settle();
-    kept.noteUnanswered(address);
+    kept.discard(address);
     expect(await get("/fast")).to.equal("fast");
     expect(sockets.length).to.equal(3);
     finishSlow();
--- a/packages/weight_store/src/weight_store_client.ts
+++ b/packages/weight_store/src/weight_store_client.ts
@@ -44,7 +44,7 @@
 
 const OK = 200;
 const NOT_FOUND = 404;
-const TOO_MANY = 429;
+const TOO_MANY_REQUESTS = 429;
 const DEFAULT_RETRY_AFTER: Millis = 1_000;
 
 /** Creates the handle; it connects on the first call. */
@@ -66,7 +66,7 @@
       return Result.err(createCallFailure("weight store", reply.error));
     }
     const { status, headers } = reply.value;
-    if (status === TOO_MANY) {
+    if (status === TOO_MANY_REQUESTS) {
       const seconds = Number(headers["retry-after"]);
       return Result.err(createFailure("overloaded", {
         verdict: "not_run",
