--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges peer state with other entries, one partner at a time, so that the
- * messages of one entry do not grow with the fleet.
+ * Gossip: exchanges peer state with one other entry at a time, so that the
+ * message load of an entry does not grow with the fleet.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import { decodeHeartbeat, encodeHeartbeat } from "./peer_protocol.ts";
 import type { PoisonNews } from "./run_protocol.ts";
 
-/** What the loop works on. */
+/** Options of {@linkcode startExchangeLoop}. */
 export interface ExchangeLoopOptions {
   clock: Clock;
   /** Returns a number from 0 up to 1. */
@@ -27,72 +27,79 @@
   signal: AbortSignal;
   membership: Membership;
   directory: Pick<EndpointDirectory, "chooseMarks">;
-  /** Time between two exchanges, spread at random by a quarter. */
+  /** Mean time between two exchanges; the jitter is a quarter of it. */
   interval: Millis;
-  /** Raises the own heartbeat with what is news here. */
+  /** Increments this entry's heartbeat and updates its own record. */
   beat: () => void;
-  /** Control addresses of entries that may not be known yet. */
+  /** Control addresses of entries that may not have been discovered yet. */
   listSeeds: () => readonly string[];
   exchange: (
     address: string,
     message: PeerExchange,
   ) => Promise<Result<PeerExchange, Failure>>;
   markLeaving: (mark: LeavingMark) => void;
-  /** What to tell of limits that endpoints name, at most `count`. */
+  /** Chooses at most `count` updates of limits that endpoints reported. */
   chooseLimitNews?: (count: number) => readonly LimitNews[];
-  noteLimitNews?: (news: LimitNews) => void;
-  /** What to tell of contents that are turned away; undefined if nothing. */
+  noteLimitNews?: (update: LimitNews) => void;
+  /** The quarantined and suspected contents; undefined if there are none. */
   readPoisonNews?: () => PoisonNews | undefined;
-  notePoisonNews?: (news: PoisonNews) => void;
-  /** Told of entries, or of new incarnations of them. */
+  notePoisonNews?: (update: PoisonNews) => void;
+  /** Called for each newly discovered entry or incarnation. */
   onIntroduced: (record: PeerRecord) => void;
-  /** Told of each newer heartbeat. */
+  /** Called for each newer heartbeat. */
   onHeartbeat: (record: PeerRecord) => void;
-  /** Told of each reply, after its news was taken in. */
+  /** Called for each reply, after its updates were applied. */
   onReply: (reply: PeerExchange, address: string) => Promise<void>;
   onUnanswered: (address: string) => void;
-  /** Whether a process listens there; asked about partners that do not answer. */
+  /** Whether a process listens there; used for peers that do not answer. */
   checkListening?: (address: string) => Promise<Listening>;
   onBytes: (direction: "in" | "out", bytes: number) => void;
 }
 
-/** A running exchange. */
+/** A running exchange loop. */
 export interface ExchangeLoop {
-  /** Answers a message of a peer. */
+  /** Applies a message of a peer and returns the reply. */
   answer(message: PeerExchange): PeerExchange;
-  /** Tells some peers at once, such as when this entry begins to leave. */
+  /**
+   * Exchanges with some peers at once, such as when this entry begins to
+   * leave.
+   */
   tellPeers(count?: number): Promise<void>;
   readonly task: Promise<void>;
 }
 
 /**
- * Bounds of a message, which keep its size independent of the fleet. With some
- * thirty heartbeats it takes 2 KB, and among 195 entries nine in ten are heard of
- * within 7 s, before they are suspected.
+ * Bounds of a message, which keep its size independent of the fleet. A message
+ * with about thirty heartbeats takes 2 KB, and among 195 entries nine in ten
+ * heartbeats are less than 7 s old, which is before their entries are
+ * suspected.
  */
 const MAX_RECORDS = 24;
-/** Introductions take as much as ten heartbeats each. */
+/** An introduction, which is a full record, is as large as ten heartbeats. */
 const MAX_INTRODUCTIONS = 4;
-/** So many to who knows fewer entries, one more for each that it lacks. */
+/**
+ * Limit for a peer that knows fewer entries; each missing one raises it by
+ * one.
+ */
 const MAX_CATCH_UP_INTRODUCTIONS = 16;
 const MAX_MARKS = 8;
 const MAX_LIMITS = 16;
 const MAX_SUSPICIONS = 8;
-/** The shortest time between two heartbeats, as a share of the interval. */
+/** Minimum time between two heartbeats, as a share of the interval. */
 const MIN_INTERVAL_SHARE = 0.75;
 const NOTIFY_FANOUT = 3;
-/** While an entry knows nobody, it tries this often. */
+/** Time between two attempts while an entry knows no peers. */
 const DISCOVERY_INTERVAL: Millis = 200;
-/** An entry is told on for this long after it became known here. */
+/** How long after its discovery the full record of an entry is passed on. */
 const INTRODUCTION_PERIOD: Millis = 15_000;
-/** Share of exchanges with listed entries that are not yet known. */
+/** Share of exchanges with seeds that have not been discovered yet. */
 const UNKNOWN_SEED_SHARE = 0.5;
 
-/** Starts to exchange peer state. */
+/** Starts the exchange loop. */
 export function startExchangeLoop(options: ExchangeLoopOptions): ExchangeLoop {
   const { clock, random, signal, membership } = options;
 
-  /** When each incarnation became known here. */
+  /** When this entry discovered each incarnation. */
   const discoveredAt = new Map<string, Millis>();
 
   function createMessage(
@@ -119,31 +126,32 @@
   }
 
   /**
-   * Whom the partner may not know: this entry, those that are new here too, and
-   * any of the records if it knows fewer entries. Each that a partner knows
-   * already costs as much as ten heartbeats.
+   * Lists the entries that the peer may not know: this entry, those that were
+   * discovered recently, and any of the records if the peer knows fewer
+   * entries. One that it knows already is left out, as it costs as much as ten
+   * heartbeats.
    */
   function listMissing(
     { heartbeats, known }: PeerExchange,
     records: readonly PeerRecord[],
   ): PeerRecord[] {
-    const told = new Set(heartbeats.map(([incarnation]) => incarnation));
+    const reported = new Set(heartbeats.map(([incarnation]) => incarnation));
     const others = membership.list().map(({ record }) => record);
     const now = clock.now();
     const recent = others.filter(({ incarnation }) =>
       now - (discoveredAt.get(incarnation) ?? -Infinity) < INTRODUCTION_PERIOD
     );
-    const lacked = Math.max(0, others.length - known);
-    const lacking = new Set([
+    const missingCount = Math.max(0, others.length - known);
+    const missing = new Set([
       membership.self,
       ...drawSome(recent, { count: recent.length, random }),
-      ...(lacked > 0 ? records : []),
+      ...(missingCount > 0 ? records : []),
     ]);
-    return [...lacking]
-      .filter(({ incarnation }) => !told.has(incarnation))
+    return [...missing]
+      .filter(({ incarnation }) => !reported.has(incarnation))
       .slice(
         0,
-        Math.min(MAX_CATCH_UP_INTRODUCTIONS, MAX_INTRODUCTIONS + lacked),
+        Math.min(MAX_CATCH_UP_INTRODUCTIONS, MAX_INTRODUCTIONS + missingCount),
       );
   }
 
@@ -156,7 +164,7 @@
       if (now - at > INTRODUCTION_PERIOD) discoveredAt.delete(incarnation);
     }
     for (const record of membership.merge(records)) {
-      // A partner introduces itself each time: only the first is news to pass on.
+      // A peer sends its own record each time; only the first is a discovery.
       if (!known.has(record.incarnation)) {
         discoveredAt.set(record.incarnation, now);
       }
@@ -180,19 +188,20 @@
       membership.markSuspected({ incarnation, heartbeat });
     }
     message.leaving.forEach(options.markLeaving);
-    for (const news of message.limits ?? []) options.noteLimitNews?.(news);
+    for (const update of message.limits ?? []) options.noteLimitNews?.(update);
     if (message.poison !== undefined) options.notePoisonNews?.(message.poison);
   }
 
-  function answer(message: PeerExchange): PeerExchange {
+  function handleMessage(message: PeerExchange): PeerExchange {
     applyMessage(message);
     const records = membership.chooseRecords(MAX_RECORDS);
     return createMessage(listMissing(message, records), records);
   }
 
   async function exchangeWith(address: string): Promise<void> {
-    // The own introduction always goes along; of the others only heartbeats,
-    // the partner fetches what it lacks when it is its turn.
+    // Only this entry's own full record is sent, and of the others heartbeats.
+    // The peer receives records that it lacks when it starts an exchange
+    // itself.
     const records = membership.chooseRecords(MAX_RECORDS);
     const message = createMessage(records.slice(0, 1), records);
     const reply = await options.exchange(address, message);
@@ -205,35 +214,39 @@
   }
 
   /**
-   * One that is only short of processor still takes connections. A partner that
-   * does not has ended or is cut off, and callers are not sent there.
+   * A peer that is only short of processor time still accepts connections. One
+   * that does not has ended or is behind a network partition: it is
+   * suspected, so that callers are not sent there.
    */
   async function checkPeer(address: string): Promise<void> {
-    const partner = membership.list()
+    const peer = membership.list()
       .find(({ record }) => record.controlAddress === address);
-    if (partner === undefined) return;
+    if (peer === undefined) return;
     const listening = await options.checkListening?.(address) ?? "listening";
     if (listening === "listening") return;
-    const { incarnation, heartbeat } = partner.record;
-    // Others may have heard of it later than this entry has.
-    const missed = Math.ceil(
-      partner.age / (MIN_INTERVAL_SHARE * options.interval),
+    const { incarnation, heartbeat } = peer.record;
+    // Other entries may have received newer heartbeats of it than this one.
+    const missedHeartbeats = Math.ceil(
+      peer.age / (MIN_INTERVAL_SHARE * options.interval),
     );
-    membership.markSuspected({ incarnation, heartbeat: heartbeat + missed });
+    membership.markSuspected({
+      incarnation,
+      heartbeat: heartbeat + missedHeartbeats,
+    });
   }
 
   function chooseAddress(): string | undefined {
-    const partner = membership.choosePartner()?.controlAddress;
+    const peer = membership.choosePartner()?.controlAddress;
     const known = new Set(
       membership.list().map(({ record }) => record.controlAddress),
     );
-    const strangers = options.listSeeds().filter((address) =>
+    const unknownSeeds = options.listSeeds().filter((address) =>
       address !== membership.self.controlAddress && !known.has(address)
     );
-    const isStrangersTurn = partner === undefined ||
+    const isSeedChosen = peer === undefined ||
       random() < UNKNOWN_SEED_SHARE;
-    if (!isStrangersTurn || strangers.length === 0) return partner;
-    return strangers[Math.floor(random() * strangers.length)];
+    if (!isSeedChosen || unknownSeeds.length === 0) return peer;
+    return unknownSeeds[Math.floor(random() * unknownSeeds.length)];
   }
 
   async function run(): Promise<void> {
@@ -241,15 +254,15 @@
       options.beat();
       const address = chooseAddress();
       if (address !== undefined) await exchangeWith(address);
-      const isAlone = membership.list().length === 0;
-      const interval = isAlone ? DISCOVERY_INTERVAL : options.interval;
+      const hasNoPeers = membership.list().length === 0;
+      const interval = hasNoPeers ? DISCOVERY_INTERVAL : options.interval;
       const share = MIN_INTERVAL_SHARE +
         random() * (1 - MIN_INTERVAL_SHARE) * 2;
       await clock.sleep(interval * share, signal);
     }
   }
 
-  async function tellPeers(count = NOTIFY_FANOUT): Promise<void> {
+  async function notifyPeers(count = NOTIFY_FANOUT): Promise<void> {
     membership.beat({});
     const alive = membership.list()
       .filter(({ health }) => health === "alive");
@@ -260,5 +273,5 @@
     );
   }
 
-  return { answer, tellPeers, task: run() };
+  return { answer: handleMessage, tellPeers: notifyPeers, task: run() };
 }
--- a/packages/peers/src/exchange_loop_test.ts
+++ b/packages/peers/src/exchange_loop_test.ts
@@ -1,6 +1,6 @@
 /**
- * Replays the exchange of a whole fleet: what each entry knows of the others, and
- * what it costs.
+ * Simulates the gossip of a fleet: what each entry knows of the others, and how
+ * many bytes it sends.
  *
  * @module
  */
@@ -15,8 +15,8 @@
 import { startExchangeLoop } from "./exchange_loop.ts";
 
 const SECOND = 1_000;
-/** Of the machine that replays, not of the fleet, whose clock is a fake one. */
-const REPLAY_TIMEOUT = 60 * SECOND;
+/** Limit in real time; the simulated fleet runs on a fake clock. */
+const SIMULATION_TIMEOUT = 60 * SECOND;
 
 interface Peer {
   membership: Membership;
@@ -41,7 +41,7 @@
   };
 }
 
-/** Entries that all know each other already. */
+/** Starts entries that all know each other. */
 function startFleet(size: number, seed = 11) {
   const clock: FakeClock = createFakeClock(0);
   const engine = new Random(MersenneTwister19937.seed(seed));
@@ -69,19 +69,20 @@
       directory: { chooseMarks: () => [] },
       interval: 500,
       beat: () => membership.beat({}),
-      listSeeds: () => records.slice(0, 3).map((one) => one.controlAddress),
+      listSeeds: () =>
+        records.slice(0, 3).map((record) => record.controlAddress),
       exchange: async (address, message) => {
         await clock.sleep(2);
-        const partner = peers.get(address);
+        const peer = peers.get(address);
         const isDead = !peers.has(self.controlAddress);
-        if (partner === undefined || isDead) {
+        if (peer === undefined || isDead) {
           return Result.err({
             kind: "unavailable",
             verdict: "not_run",
             message: "",
           });
         }
-        return Result.ok(partner.loop.answer(message));
+        return Result.ok(peer.loop.answer(message));
       },
       markLeaving: () => {},
       onIntroduced: () => {},
@@ -103,7 +104,7 @@
   return { clock, peers, start, stop: () => controller.abort() };
 }
 
-/** The age below which a share of all heartbeats is, at all entries. */
+/** The quantile `share` of the ages of all heartbeats at all entries. */
 function findAge(peers: ReadonlyMap<string, Peer>, share: number): number {
   const ages = [...peers.values()]
     .flatMap(({ membership }) => membership.list().map(({ age }) => age))
@@ -111,48 +112,50 @@
   return ages[Math.floor(share * (ages.length - 1))] ?? 0;
 }
 
-describe("exchange of a fleet", () => {
-  // Heartbeats of half of the fleet were older than the time after which a peer
-  // is suspected: callers were sent to the other half.
+describe("gossip of a fleet", () => {
+  // Guards against heartbeats that spread too slowly in a large fleet: peers
+  // whose heartbeats are older than the suspect timeout get no callers, and in
+  // one case that was half of the fleet.
   const SIZES = [
-    { size: 20, nineInTen: 2_000 },
-    { size: 66, nineInTen: 3_000 },
-    { size: 195, nineInTen: 7_000 },
+    { size: 20, ninthDecile: 2_000 },
+    { size: 66, ninthDecile: 3_000 },
+    { size: 195, ninthDecile: 7_000 },
   ];
-  for (const { size, nineInTen } of SIZES) {
-    it(`tells of ${size} entries before they are suspected`, async () => {
+  for (const { size, ninthDecile } of SIZES) {
+    it(`spreads heartbeats of ${size} entries before they are suspected`, async () => {
       const { clock, peers, stop } = startFleet(size);
       await clock.advance(20 * SECOND);
       stop();
-      expect(findAge(peers, 0.9)).to.be.at.most(nineInTen);
-    }).timeout(REPLAY_TIMEOUT);
+      expect(findAge(peers, 0.9)).to.be.at.most(ninthDecile);
+    }).timeout(SIMULATION_TIMEOUT);
   }
 
-  // Callers are told of an entry that has died, connect there and wait for a
-  // second: each of many entries hears of its silence only after a while.
+  // Guards against late detection of dead entries. A caller that gets the
+  // address of a dead entry waits a second for the connection, and in a large
+  // fleet an entry learns only after some exchanges that another has died.
   const DEATHS = [
     { size: 9, limit: 3_500 },
     { size: 83, limit: 6_500 },
     { size: 195, limit: 6_500 },
   ];
   for (const { size, limit } of DEATHS) {
-    it(`does not name one of ${size} that has died`, async () => {
+    it(`lists none of ${size} entries as alive after it has died`, async () => {
       const { clock, peers, stop } = startFleet(size);
       await clock.advance(10 * SECOND);
       const dead = [1, 2, 3].map(String);
       dead.forEach((address) => peers.delete(address));
       await clock.advance(limit);
       stop();
-      const naming = [...peers.values()].filter(({ membership }) =>
+      const listing = [...peers.values()].filter(({ membership }) =>
         membership.list().some(({ record, health }) =>
           health === "alive" && dead.includes(record.controlAddress)
         )
       );
-      expect(naming.length).to.equal(0);
+      expect(listing.length).to.equal(0);
     });
   }
 
-  it("costs an entry the same in a fleet of any size", async () => {
+  it("sends no more bytes per entry in a large fleet", async () => {
     for (const size of [66, 195]) {
       const { clock, peers, stop } = startFleet(size);
       await clock.advance(20 * SECOND);
@@ -163,21 +166,22 @@
     }
   });
 
-  // An entry starts while the store is away and knows only its seeds. It must be
-  // known to all, and know all, without any list. The last few it lacks must not
-  // be crowded out by those it knows already.
+  // An entry starts while the store is unavailable and knows only its seeds.
+  // Gossip alone must make it known to all entries and all entries known to
+  // it. Guards against messages that are filled with records of entries that
+  // it knows already, so that the last few that it lacks are never sent.
   for (const seed of [11, 12, 13, 14, 15, 16, 17, 18]) {
-    it(`introduces a newcomer to all and all to it, seed ${seed}`, async () => {
+    it(`makes a new entry and all others known to each other, seed ${seed}`, async () => {
       const { clock, peers, start, stop } = startFleet(66, seed);
       await clock.advance(5 * SECOND);
-      const newcomer = start(createRecord(66), []);
+      const added = start(createRecord(66), []);
       await clock.advance(30 * SECOND);
       stop();
       const knowing = [...peers.values()].filter(({ membership }) =>
         membership.list().some(({ record }) => record.controlAddress === "66")
       );
       expect(knowing.length).to.equal(66);
-      expect(newcomer.membership.list().length).to.equal(66);
+      expect(added.membership.list().length).to.equal(66);
     });
   }
 });
--- a/packages/peers/src/mod.ts
+++ b/packages/peers/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Our own processes among themselves, by trpc.
+ * The protocol between entries, over tRPC.
  *
  * @module
  */
--- a/packages/peers/src/peer_caller.ts
+++ b/packages/peers/src/peer_caller.ts
@@ -1,6 +1,6 @@
 /**
- * Calls procedures of peers by trpc over kept connections, each with a time
- * limit, a checked reply and a typed failure.
+ * Calls procedures of peers by tRPC over persistent connections, each with a
+ * timeout, a validated reply and a typed failure.
  *
  * @module
  */
@@ -24,18 +24,18 @@
   connectTimeout: Millis;
 }
 
-/** One question to a peer. */
+/** One request to a peer. */
 export interface PeerRequest<T> {
   /** A control address, `ip:port`. */
   address: string;
-  /** Checks the reply. */
+  /** Validates the reply. */
   schema: z.ZodType<T>;
   timeout: Millis;
-  /** Gives the question up. */
+  /** Cancels the request. */
   signal?: AbortSignal;
 }
 
-/** What goes along with each call; for trpc's client. */
+/** Options of each call of the tRPC client. */
 export interface PeerCallOptions {
   signal: AbortSignal;
   context: { address: string };
@@ -44,7 +44,7 @@
 /** Calls the procedures of one router at any peer. */
 export interface PeerCaller<R extends AnyTRPCRouter> {
   request<T>(
-    question: PeerRequest<T>,
+    target: PeerRequest<T>,
     send: (
       client: TRPCClient<R>,
       options: PeerCallOptions,
@@ -54,12 +54,13 @@
 }
 
 /**
- * Partners are drawn from all peers, so it takes most of a minute until one is
- * asked again; a new connection costs both sides more than the message does.
+ * Peers are chosen at random for exchanges, so most of a minute can pass
+ * between two requests to the same one. A new connection costs both sides more
+ * than the message does.
  */
 const KEEP_ALIVE: Millis = 60_000;
 
-/** Creates the caller of one process. */
+/** Creates the caller for one process. */
 export function createPeerCaller<R extends AnyTRPCRouter>(
   { clock, siteKey, connectTimeout }: PeerCallerOptions,
 ): PeerCaller<R> {
@@ -68,9 +69,9 @@
     maxKeepAlive: KEEP_ALIVE,
     connectTimeout,
   });
-  // In place of trpc's HTTP link, whose fetch and headers of the standard cost
-  // more than all the rest of a call. Whom to call stands in the call's context,
-  // so one client serves all peers.
+  // Replaces tRPC's HTTP link, whose use of the standard fetch and Headers
+  // costs more than the rest of a call. The address is in the context of each
+  // call, so one client serves all peers.
   const client = createTRPCClient<R>({
     links: [
       () => ({ op }) =>
@@ -117,7 +118,7 @@
 }
 
 interface OutgoingCall {
-  /** Holds the address, as it was given with the call. */
+  /** Contains the address that was given with the call. */
   context: Record<string, unknown>;
   siteKey: string;
   kept: PersistentConnections;
@@ -127,7 +128,7 @@
   signal: AbortSignal | null | undefined;
 }
 
-/** Sends one call as trpc's HTTP link would, and returns its data. */
+/** Sends one call in the form of tRPC's HTTP link and returns its data. */
 async function sendCall(
   { context, siteKey, kept, type, path, input, signal }: OutgoingCall,
 ): Promise<unknown> {
--- a/packages/peers/src/peer_client.ts
+++ b/packages/peers/src/peer_client.ts
@@ -1,5 +1,5 @@
 /**
- * The side of an entry that asks its peers.
+ * The client of the protocol between entries.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   timeoutMs: Millis;
 }
 
-/** Asks peers; `address` is a control address, `ip:port`. */
+/** Sends requests to peers; `address` is a control address, `ip:port`. */
 export interface PeerClient {
   exchange(
     address: string,
@@ -35,12 +35,12 @@
   ): Promise<Result<ActiveConfig | undefined, Failure>>;
   askOutcome(
     address: string,
-    question: OutcomeQuestion,
+    query: OutcomeQuestion,
   ): Promise<Result<OutcomeReply, Failure>>;
   close(): Promise<void>;
 }
 
-/** Creates the handle. */
+/** Creates the client. */
 export function createPeerClient(
   { clock, siteKey, timeoutMs }: PeerClientOptions,
 ): PeerClient {
@@ -68,14 +68,14 @@
       );
       return reply.map((config) => config ?? undefined);
     },
-    askOutcome: (address, question) =>
+    askOutcome: (address, query) =>
       request(
         {
           address,
           schema: outcomeReplySchema,
-          timeout: timeoutMs + question.waitMs,
+          timeout: timeoutMs + query.waitMs,
         },
-        (client, options) => client.outcome.mutate(question, options),
+        (client, options) => client.outcome.mutate(query, options),
       ),
     close: () => caller.close(),
   };
--- a/packages/peers/src/peer_contract_test.ts
+++ b/packages/peers/src/peer_contract_test.ts
@@ -17,7 +17,7 @@
   leaving: [],
   known: 0,
 };
-const QUESTION = { account: "a", id: "i", keepUntil: 1, waitMs: 0 };
+const OUTCOME_QUERY = { account: "a", id: "i", keepUntil: 1, waitMs: 0 };
 const SITE_KEY = "Bearer site-key-of-this-test";
 
 describe("peer contract", () => {
@@ -57,26 +57,29 @@
     return createPeerClient({ clock, siteKey, timeoutMs: 300 });
   }
 
-  it("carries exchanges, configurations and questions", async () => {
+  it("transfers exchanges, configurations and outcome queries", async () => {
     const address = readServerAddress(server);
     const exchanged = await peers.exchange(address, MESSAGE);
     expect(exchanged.isOk && exchanged.value).to.deep.equal(MESSAGE);
     const config = await peers.readConfig(address);
     expect(config.isOk && config.value).to.equal(undefined);
-    const outcome = await peers.askOutcome(address, QUESTION);
+    const outcome = await peers.askOutcome(address, OUTCOME_QUERY);
     expect(outcome.isOk && outcome.value.kind).to.equal("forbidden");
   });
 
-  it("answers only who has the site's key", async () => {
-    const stranger = create("another-key-of-tests");
-    const reply = await stranger.exchange(readServerAddress(server), MESSAGE);
+  it("rejects requests without the key of the site", async () => {
+    const unauthorized = create("another-key-of-tests");
+    const reply = await unauthorized.exchange(
+      readServerAddress(server),
+      MESSAGE,
+    );
     expect(reply.isErr && reply.error.message).to.contain("UNAUTHORIZED");
-    await stranger.close();
+    await unauthorized.close();
   });
 
-  it("gives up on a peer that does not answer", async () => {
+  it("times out when a peer does not answer", async () => {
     const silent = await startScriptedServer({ kind: "silence" });
-    const reply = await peers.askOutcome(silent.address, QUESTION);
+    const reply = await peers.askOutcome(silent.address, OUTCOME_QUERY);
     expect(reply.isErr && reply.error.verdict).to.equal("may_have_run");
     await silent.stop();
   });
@@ -85,7 +88,7 @@
     it(`turns ${name} into a typed error`, async () => {
       const bad = await startScriptedServer(reply);
       expect((await peers.exchange(bad.address, MESSAGE)).isErr).to.equal(true);
-      expect((await peers.askOutcome(bad.address, QUESTION)).isErr)
+      expect((await peers.askOutcome(bad.address, OUTCOME_QUERY)).isErr)
         .to.equal(true);
       await bad.stop();
     });
--- a/packages/peers/src/peer_path.ts
+++ b/packages/peers/src/peer_path.ts
@@ -1,8 +1,8 @@
 /**
- * Where peers answer.
+ * The path of the protocol between entries.
  *
  * @module
  */
 
-/** Path prefix of the peers' protocol on the control port. */
+/** Path prefix of the protocol on the control port. */
 export const PEER_PATH = "/peers/";
--- a/packages/peers/src/peer_procedure.ts
+++ b/packages/peers/src/peer_procedure.ts
@@ -1,6 +1,6 @@
 /**
- * What the routers of all peers' protocols share: only peers may call, and how a
- * call comes in by HTTP.
+ * Shared by the routers of both peer protocols: the authorization of peers, and
+ * the HTTP listener.
  *
  * @module
  */
@@ -30,31 +30,31 @@
 /** Creates a router from procedures. */
 export const createRouter = builder.router;
 
-/** The base of every procedure. */
+/** The base of every procedure; it rejects callers that are no peers. */
 export const peerProcedure = builder.procedure.use(({ ctx, next }) => {
   if (!ctx.isPeer) throw new TRPCError({ code: "UNAUTHORIZED" });
   return next();
 });
 
-/** The largest exchanges and runs take some hundred kilobytes. */
+/** The largest exchanges and runs take a few hundred kilobytes. */
 const MAX_BODY_BYTES = 4_194_304;
 const INPUT_PARAMETER = "input=";
 
 interface PeerCall {
   path: string;
   type: "query" | "mutation";
-  /** JSON; empty if the procedure takes none. */
+  /** JSON; empty if the procedure has no input. */
   readInput: () => Promise<string>;
 }
 
 /**
  * Creates the listener for requests whose path begins with the prefix.
  *
- * trpc's own adapter turns each call into the standard's request, streams and
- * response. Without them, and with the caller's own link, a message between two
- * entries costs 0.6 ms of processor time in place of 1.5 ms, both sides together
- * (3,000 exchanges one after the other on loopback): an entry has ten of them for
- * each request that it serves.
+ * tRPC's own adapter converts each call to a standard Request, streams and a
+ * Response. Without them, and with the link of the peer caller, a message
+ * between two entries costs 0.6 ms of processor time instead of 1.5 ms, both
+ * sides together (3,000 sequential exchanges on loopback). An entry handles
+ * ten messages for each request that it serves.
  */
 export function createRouterListener(
   router: AnyTRPCRouter,
@@ -75,7 +75,7 @@
   },
 ): Promise<void> {
   const controller = new AbortController();
-  // The peer gave up, or is gone: what runs for it must not go on.
+  // The peer cancelled the call or disconnected: stop the work for it.
   response.once("close", () => {
     if (!response.writableFinished) controller.abort();
   });
@@ -108,7 +108,7 @@
   }
 }
 
-/** As trpc's HTTP link sends it: queries in the address, others in the body. */
+/** The input of a query is in the URL, that of a mutation in the body. */
 function readCall(request: IncomingMessage): PeerCall {
   const url = request.url ?? "";
   const queryAt = url.indexOf("?");
--- a/packages/peers/src/peer_protocol.ts
+++ b/packages/peers/src/peer_protocol.ts
@@ -1,5 +1,5 @@
 /**
- * What entries say to each other.
+ * Messages that entries exchange about each other.
  *
  * @module
  */
@@ -10,9 +10,10 @@
 const stateSchema = z.enum(["live", "unready", "leaving"]);
 
 /**
- * What changes from second to second: incarnation, heartbeat, state, version of
- * the configuration, requests in progress, strained priority. Without names it
- * takes a quarter of the bytes, and a message holds four times as many.
+ * The frequently changing state of an entry: incarnation, heartbeat, state,
+ * version of the configuration, requests in progress, strained priority. A
+ * tuple takes a quarter of the bytes of an object with field names, so a
+ * message holds four times as many.
  */
 const heartbeatSchema = z.tuple([
   z.string(),
@@ -23,10 +24,10 @@
   z.number().int().min(0),
 ]);
 
-/** What changes from second to second about an entry. */
+/** The frequently changing state of an entry. */
 export type Heartbeat = z.infer<typeof heartbeatSchema>;
 
-/** The heartbeat of an entry, as it is sent. */
+/** Encodes the heartbeat of an entry for sending. */
 export function encodeHeartbeat(record: PeerRecord): Heartbeat {
   return [
     record.incarnation,
@@ -38,7 +39,7 @@
   ];
 }
 
-/** What a heartbeat says. */
+/** Decodes a received heartbeat. */
 export function decodeHeartbeat(
   [incarnation, heartbeat, state, configVersion, inFlight, strainedPriority]:
     Heartbeat,
@@ -53,7 +54,7 @@
   };
 }
 
-/** All of an entry; sent to who lacks it. */
+/** The full record of an entry; sent to peers that may lack it. */
 export const introductionSchema = z.object({
   entry: z.string(),
   incarnation: z.string(),
@@ -72,7 +73,7 @@
 const leavingMarkSchema = z.object({
   endpointKey: z.string(),
   age: z.number().min(0),
-  /** The endpoint itself has said so; else it is a guess. */
+  /** The endpoint itself reported it; otherwise it is inferred. */
   isSaid: z.boolean().default(false),
 });
 
@@ -84,16 +85,16 @@
 
 const MAX_RECORDS = 64;
 
-/** One exchange of peer state; both sides send the same form. */
+/** One exchange of peer state; request and reply have the same schema. */
 export const exchangeSchema = z.object({
   heartbeats: z.array(heartbeatSchema).max(MAX_RECORDS),
   introductions: z.array(introductionSchema).max(MAX_RECORDS),
   leaving: z.array(leavingMarkSchema).max(MAX_RECORDS),
-  /** What endpoints said of their limits; left out while none has named one. */
+  /** Limits that endpoints reported; left out while there are none. */
   limits: z.array(limitUpdateSchema).max(MAX_RECORDS).optional(),
-  /** How many other entries the sender knows. */
+  /** Number of other entries that the sender knows. */
   known: z.number().int().min(0),
-  /** Incarnations that could not be reached, and their last heartbeats. */
+  /** Incarnations that could not be reached, with their last heartbeats. */
   unreached: z.array(z.tuple([z.string(), z.number().int()]))
     .max(MAX_RECORDS).optional(),
   /** Left out while nothing is suspected. */
@@ -103,20 +104,23 @@
 /** One exchange of peer state. */
 export type PeerExchange = z.infer<typeof exchangeSchema>;
 
-/** A question about a non-idempotent request that only the asked may run. */
+/**
+ * Queries the outcome of a non-idempotent request at the only entry that may
+ * run it.
+ */
 export const outcomeQuerySchema = z.object({
   account: z.string(),
   id: z.string(),
-  /** Until when the asked must remember its answer. */
+  /** Until when the queried entry must store its answer. */
   keepUntil: z.number(),
-  /** How long the answer may wait for a request that is running. */
+  /** How long the reply may wait for a request that is running. */
   waitMs: z.number().min(0).max(600_000),
 });
 
-/** A question about a non-idempotent request. */
+/** Queries the outcome of a non-idempotent request. */
 export type OutcomeQuestion = z.infer<typeof outcomeQuerySchema>;
 
-/** An answer as it went to the caller, for one who asks again. */
+/** An answer as it was sent to the caller, stored for repeated requests. */
 export const storedAnswerSchema = z.object({
   status: z.number().int(),
   contentType: z.string(),
@@ -124,18 +128,18 @@
   body: z.string(),
 });
 
-/** An answer as it went to the caller. */
+/** An answer as it was sent to the caller. */
 export type StoredAnswer = z.infer<typeof storedAnswerSchema>;
 
-/** What the asked entry knows. */
+/** What the queried entry knows of the outcome. */
 export const outcomeReplySchema = z.discriminatedUnion("kind", [
-  /** It ran or was refused; this was the answer. */
+  /** The request ran or was refused, with this answer. */
   z.object({ kind: z.literal("answered"), answer: storedAnswerSchema }),
-  /** It did not run and never will. */
+  /** The request has not run and never will. */
   z.object({ kind: z.literal("forbidden") }),
-  /** It runs still, or the asked cannot say. */
+  /** The request is still running, or the outcome is not known. */
   z.object({ kind: z.literal("unknown") }),
 ]);
 
-/** What the asked entry knows. */
+/** What the queried entry knows of the outcome. */
 export type OutcomeReply = z.infer<typeof outcomeReplySchema>;
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -1,5 +1,5 @@
 /**
- * The side of an entry that answers its peers.
+ * The server of the protocol between entries.
  *
  * @module
  */
@@ -17,12 +17,12 @@
 } from "./peer_procedure.ts";
 import { exchangeSchema, outcomeQuerySchema } from "./peer_protocol.ts";
 
-/** What an entry does for its peers. */
+/** Handlers of the requests of peers. */
 export interface PeerHandlers {
   exchange(message: PeerExchange): PeerExchange;
   /** The configuration in force here; null before the first. */
   readConfig(): ActiveConfig | null;
-  answerOutcome(question: OutcomeQuestion): Promise<OutcomeReply>;
+  answerOutcome(query: OutcomeQuestion): Promise<OutcomeReply>;
 }
 
 function createPeerRouter(handlers: PeerHandlers) {
--- a/packages/peers/src/run_protocol.ts
+++ b/packages/peers/src/run_protocol.ts
@@ -1,5 +1,6 @@
 /**
- * What entries tell each other of requests under which endpoints end.
+ * Messages between entries about requests that crash the endpoints that run
+ * them.
  *
  * @module
  */
@@ -8,62 +9,62 @@
 const MAX_ROWS = 256;
 const MAX_ENDPOINT_KEYS = 16;
 
-/** An endpoint that ended during a run. */
+/** An endpoint that crashed during a run. */
 export const endpointCrashSchema = z.object({
   endpointKey: z.string(),
-  /** Milliseconds since it was sent to the endpoint. */
+  /** Milliseconds since the request was sent to the endpoint. */
   sentAgo: z.number().min(0),
-  /** Milliseconds since the endpoint ended. */
+  /** Milliseconds since the endpoint crashed. */
   endedAgo: z.number().min(0),
 });
 
-/** An endpoint that ended during a run. */
+/** An endpoint that crashed during a run. */
 export type EndpointEnd = z.infer<typeof endpointCrashSchema>;
 
-/** A request during which its endpoint ended. */
+/** A request whose endpoint crashed while it ran. */
 const crashedRunSchema = endpointCrashSchema.extend({
-  /** The digest of what was asked for. */
+  /** The digest of the content of the request. */
   content: z.string(),
 });
 
-/** A content that is turned away. */
+/** A quarantined content. */
 const quarantinedSchema = z.object({
   content: z.string(),
   endpointKeys: z.array(z.string()).max(MAX_ENDPOINT_KEYS).readonly(),
-  /** Milliseconds for which it is turned away. */
+  /** Milliseconds for which it remains quarantined. */
   term: z.number().positive(),
 });
 
-/** A content that is suspected. */
+/** A content that is suspected to crash endpoints. */
 const suspectedSchema = z.object({
   content: z.string(),
-  /** Milliseconds since the last endpoint ended under it. */
+  /** Milliseconds since it last crashed an endpoint. */
   age: z.number().min(0),
 });
 
-/** Runs that an entry tells to those that keep count for their contents. */
+/** Runs that an entry reports to the aggregators of their contents. */
 export const runReportSchema = z.object({
   ended: z.array(crashedRunSchema).max(MAX_ROWS),
-  /** Suspected contents that have completed since. */
+  /** Suspected contents that completed after they were suspected. */
   completed: z.array(z.string()).max(MAX_ROWS),
 });
 
-/** Runs that an entry tells to those that keep count for their contents. */
+/** Runs that an entry reports to the aggregators of their contents. */
 export type RunReport = z.infer<typeof runReportSchema>;
 
-/** Which contents of a report are turned away. */
+/** The contents of a report that are quarantined. */
 export const runReportReplySchema = z.object({
   quarantined: z.array(quarantinedSchema),
 });
 
-/** Which contents of a report are turned away. */
+/** The contents of a report that are quarantined. */
 export type RunReportReply = z.infer<typeof runReportReplySchema>;
 
-/** What entries pass on to each other of what is turned away or suspected. */
+/** Quarantined and suspected contents, exchanged by gossip. */
 export const poisonUpdateSchema = z.object({
   quarantined: z.array(quarantinedSchema).max(MAX_ROWS),
   suspected: z.array(suspectedSchema).max(MAX_ROWS),
 });
 
-/** What entries pass on to each other of what is turned away or suspected. */
+/** Quarantined and suspected contents, exchanged by gossip. */
 export type PoisonNews = z.infer<typeof poisonUpdateSchema>;
--- a/packages/peers/src/serving_peers.ts
+++ b/packages/peers/src/serving_peers.ts
@@ -1,6 +1,6 @@
 /**
- * The peers' protocol of entries that pass routes through: news of each other,
- * and pieces of stage work for the entry that feeds a pool.
+ * The protocol between entries that forward routes: gossip, and pieces of stage
+ * work for the dispatcher of a pool.
  *
  * @module
  */
@@ -35,19 +35,24 @@
 import type { TopicNews, TopicQuestion } from "./topic_protocol.ts";
 import { topicRepliesSchema, topicRequestsSchema } from "./topic_protocol.ts";
 
-/** What an entry does for its peers. */
+/** Handlers of the requests of peers. */
 export interface ServingPeerHandlers {
   exchange(message: PeerExchange): PeerExchange;
-  /** Runs pieces here; the signal aborts when the peer gives them up. */
+  /** Runs pieces here; the signal aborts when the peer cancels them. */
   runPieces(run: PieceRun, signal: AbortSignal): Promise<PieceRunReply>;
-  readWaits(question: WaitsQuestion): PieceWaits;
+  readWaits(query: WaitsQuestion): PieceWaits;
   releaseResults(release: ResultRelease): void;
-  /** Counts runs of contents that this entry keeps count for. */
+  /** Counts runs of the contents that this entry is an aggregator for. */
   reportRuns(report: RunReport): RunReportReply;
-  /** The configuration in force here as it was published; null without one. */
+  /**
+   * The configuration in force here as it was published; null if there is
+   * none.
+   */
   readConfig(): string | null;
-  /** Answers from what this entry read of the store, in the same order. */
-  readTopics(questions: readonly TopicQuestion[]): Promise<TopicNews[]>;
+  /**
+   * Replies with what this entry has read from the store, in the same order.
+   */
+  readTopics(requests: readonly TopicQuestion[]): Promise<TopicNews[]>;
 }
 
 function createServingRouter(handlers: ServingPeerHandlers) {
@@ -86,7 +91,7 @@
   return createRouterListener(createServingRouter(handlers), isPeer);
 }
 
-/** Asks peers; `address` is a control address, `ip:port`. */
+/** Sends requests to peers; `address` is a control address, `ip:port`. */
 export interface ServingPeerClient {
   exchange(
     address: string,
@@ -101,7 +106,7 @@
   ): Promise<Result<PieceRunReply, Failure>>;
   readWaits(
     address: string,
-    question: WaitsQuestion,
+    query: WaitsQuestion,
   ): Promise<Result<PieceWaits, Failure>>;
   releaseResults(
     address: string,
@@ -111,35 +116,41 @@
     address: string,
     report: RunReport,
   ): Promise<Result<RunReportReply, Failure>>;
-  /** The configuration in force there as it was published; null without one. */
+  /**
+   * The configuration in force there as it was published; null if there is
+   * none.
+   */
   readConfig(address: string): Promise<Result<string | null, Failure>>;
-  /** Asks about several topics at once; answered as soon as one has news. */
+  /**
+   * Requests several topics at once; the reply comes as soon as one has
+   * records.
+   */
   readTopics(
     address: string,
-    questions: readonly TopicQuestion[],
+    requests: readonly TopicQuestion[],
   ): Promise<Result<TopicNews[], Failure>>;
   close(): Promise<void>;
 }
 
-/** A peer that is only short of processor answers within a second. */
+/** A peer that is only short of processor time answers within a second. */
 const CONFIG_TIMEOUT: Millis = 1_000;
 const PING_TIMEOUT: Millis = 1_000;
 
-/** A feeder answers a little after the results are of no use any more. */
+/** A dispatcher replies shortly after the deadline of the results. */
 const RUN_TIMEOUT_MARGIN: Millis = 250;
 
-/** Admission waits for the answer, and does without it after this time. */
+/** Admission waits this long for the reply, and then proceeds without it. */
 const WAITS_TIMEOUT: Millis = 100;
 
-/** An entry that answers later than it should is paused or cut off. */
+/** An entry that has not replied by then is paused or unreachable. */
 const TOPIC_TIMEOUT_MARGIN: Millis = 300;
 
-/** Creates the handle. */
+/** Creates the client. */
 export function createServingPeerClient(
   { clock, siteKey, timeout }: {
     clock: Clock;
     siteKey: string;
-    /** Limit of a short exchange; a peer that needs longer is in trouble. */
+    /** Timeout of short exchanges, which a healthy peer does not exceed. */
     timeout: Millis;
   },
 ): ServingPeerClient {
@@ -170,10 +181,10 @@
         },
         (client, options) => client.runPieces.mutate(run, options),
       ),
-    readWaits: (address, question) =>
+    readWaits: (address, query) =>
       caller.request(
         { address, schema: pieceWaitsSchema, timeout: WAITS_TIMEOUT },
-        (client, options) => client.readWaits.query(question, options),
+        (client, options) => client.readWaits.query(query, options),
       ),
     releaseResults: (address, release) =>
       caller.request(
@@ -190,22 +201,22 @@
         { address, schema: z.string().nullable(), timeout: CONFIG_TIMEOUT },
         (client, options) => client.readConfig.query(undefined, options),
       ),
-    readTopics: (address, questions) =>
+    readTopics: (address, requests) =>
       caller.request(
         {
           address,
           schema: topicRepliesSchema,
-          timeout: computeMinWait(questions) + TOPIC_TIMEOUT_MARGIN,
+          timeout: computeMinWait(requests) + TOPIC_TIMEOUT_MARGIN,
         },
-        (client, options) => client.readTopics.query([...questions], options),
+        (client, options) => client.readTopics.query([...requests], options),
       ),
     close: () => caller.close(),
   };
 }
 
-/** The first question that is answered ends the others. */
-function computeMinWait(questions: readonly TopicQuestion[]): Millis {
+/** The first topic request that is answered completes the whole call. */
+function computeMinWait(requests: readonly TopicQuestion[]): Millis {
   return Math.min(
-    ...questions.map(({ wait, confirmWait }) => wait + confirmWait),
+    ...requests.map(({ wait, confirmWait }) => wait + confirmWait),
   );
 }
--- a/packages/peers/src/topic_protocol.ts
+++ b/packages/peers/src/topic_protocol.ts
@@ -1,55 +1,57 @@
 /**
- * How an entry reads a keyed topic of the platform's store at another entry that
- * has read it already.
+ * How an entry reads a compacted topic of the platform's store from another
+ * entry that has already read it.
  *
  * @module
  */
 import * as z from "zod";
 
-/** The configuration, what endpoints say about themselves, and the entries. */
+/** The configuration, the reports of endpoints, and the entries. */
 export const topicNameSchema = z.enum(["config", "endpoints", "members"]);
 
-/** The configuration, what endpoints say about themselves, and the entries. */
+/** The configuration, the reports of endpoints, and the entries. */
 export type TopicName = z.infer<typeof topicNameSchema>;
 
 const MAX_WAIT = 10_000;
 
 const offsetSchema = z.number().int().min(0);
 
-/** Where a topic is read on: offsets of two eras cannot be compared. */
+/** Where to continue to read; offsets of different eras are not comparable. */
 const positionSchema = z.object({
-  /** Rises when the store comes back from an older copy of itself. */
+  /** Rises when the store is restored from an older copy. */
   era: z.number().int().min(0),
   /** The store's offset. */
   offset: offsetSchema,
 });
 
-/** Asks for the records from a position on. */
+/** Requests the records from a position on. */
 export const topicRequestSchema = z.object({
   topic: topicNameSchema,
   from: positionSchema,
-  /** Milliseconds to wait for the first record; with 0 an answer comes at once. */
+  /**
+   * Milliseconds to wait for the first record; with 0 the reply is immediate.
+   */
   wait: z.number().min(0).max(MAX_WAIT),
   /**
-   * So many milliseconds longer an answer without records waits until the asked
-   * entry's knowledge is confirmed anew.
+   * Additional milliseconds that a reply without records waits until the store
+   * has confirmed again that the data of the replying entry is current.
    */
   confirmWait: z.number().min(0).max(MAX_WAIT),
 });
 
-/** Asks for the records from a position on. */
+/** Requests the records from a position on. */
 export type TopicQuestion = z.infer<typeof topicRequestSchema>;
 
-/** One question for each topic at most. */
+/** At most one request for each topic. */
 const MAX_REQUESTS = topicNameSchema.options.length;
 
-/** Asks about several topics at once; whichever has news first is answered. */
+/** Requests several topics at once; the first that has records is answered. */
 export const topicRequestsSchema = z.array(topicRequestSchema)
   .min(1).max(MAX_REQUESTS);
 
 const topicRecordSchema = z.object({
   key: z.string(),
-  /** Without a value the key was dropped. */
+  /** Absent if the key was deleted. */
   value: z.string().optional(),
   /** The store's offset. */
   offset: offsetSchema.optional(),
@@ -57,27 +59,30 @@
 
 const topicRecordsSchema = z.object({
   records: z.array(topicRecordSchema),
-  /** Where to read on. */
+  /** Where to continue to read. */
   next: positionSchema,
   /**
-   * How long before the question came the store had confirmed it, in
-   * milliseconds; negative if that was while the question waited.
+   * Milliseconds between the store's last confirmation of the data and the
+   * arrival of the request; negative if the confirmation came while the
+   * request waited.
    */
   age: z.number(),
 });
 
-/** What the asked entry knows. */
+/** What the replying entry has read of the topic. */
 export const topicReplySchema = z.discriminatedUnion("kind", [
   /** The changes from the position on. */
   topicRecordsSchema.extend({ kind: z.literal("records") }),
-  /** The newest record of every key: changes from there on are not kept. */
+  /**
+   * A snapshot, the newest record of every key, as older changes are not kept.
+   */
   topicRecordsSchema.extend({ kind: z.literal("newest") }),
-  /** It has not read the topic, or not as far as that. */
+  /** The entry has not read the topic, or not up to that position. */
   z.object({ kind: z.literal("unknown") }),
 ]);
 
-/** What the asked entry knows, in the order of the questions. */
+/** What the replying entry has read, in the order of the requests. */
 export const topicRepliesSchema = z.array(topicReplySchema);
 
-/** What the asked entry knows. */
+/** What the replying entry has read of the topic. */
 export type TopicNews = z.infer<typeof topicReplySchema>;
