--- a/packages/instance_list/src/instance_list_client.ts
+++ b/packages/instance_list/src/instance_list_client.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's lagging instance list.
+ * The client of the platform's instance list, which lags behind changes.
  *
  * Wire format: `GET /instances?after=…` answers 200
  * `{"version":…,"instances":[…]}`, or 304 when `version` has not changed.
@@ -19,7 +19,7 @@
 import { Result } from "true-myth";
 import * as z from "zod";
 
-/** The pool name under which our own entries are listed. */
+/** The pool name of the system's own entries in the list. */
 export const ENTRY_POOL = "entry";
 
 const listedInstanceSchema = z.object({
@@ -36,7 +36,7 @@
   instances: z.array(listedInstanceSchema),
 });
 
-/** What the list said at one time. */
+/** The list as read at one time. */
 export interface InstanceSnapshot {
   version: number;
   instances: EndpointInfo[];
@@ -50,11 +50,11 @@
   timeoutMs: Millis;
 }
 
-/** The instance list. */
+/** A client of the instance list. */
 export interface InstanceListClient {
-  /** Reads the list; undefined when it has not changed since `after`. */
+  /** Reads the list; undefined if it has not changed since version `after`. */
   read(after: number): Promise<Result<InstanceSnapshot | undefined, Failure>>;
-  /** Reads the list again and again until `signal` aborts. */
+  /** Polls the list until `signal` aborts. */
   follow(options: FollowOptions): Stream<InstanceSnapshot>;
   close(): Promise<void>;
 }
@@ -70,7 +70,7 @@
 const OK = 200;
 const NOT_MODIFIED = 304;
 
-/** Creates the handle; it connects on the first call. */
+/** Creates the client; it connects on the first call. */
 export function createInstanceListClient(
   { clock, address, timeoutMs }: InstanceListClientOptions,
 ): InstanceListClient {
--- a/packages/instance_list/src/instance_list_contract_test.ts
+++ b/packages/instance_list/src/instance_list_contract_test.ts
@@ -40,7 +40,7 @@
     await http.close();
   }
 
-  it("lists instances, and says when nothing has changed", async () => {
+  it("lists instances, and reports that nothing has changed", async () => {
     const standin = await startInstanceList({ clock, lagMs: 0 });
     await put(standin, "encoder-1");
     const list = createClient(standin.address);
@@ -55,7 +55,7 @@
     await standin.stop();
   });
 
-  it("shows a change only after its lag", async () => {
+  it("lists a change only after the lag", async () => {
     const standin = await startInstanceList({ clock, lagMs: 60_000 });
     await put(standin, "encoder-1");
     const list = createClient(standin.address);
--- a/packages/instance_list/src/mod.ts
+++ b/packages/instance_list/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's lagging instance list.
+ * The client of the platform's instance list, which lags behind changes.
  *
  * @module
  */
--- a/packages/log/src/log_client.ts
+++ b/packages/log/src/log_client.ts
@@ -1,5 +1,5 @@
 /**
- * The handle of the platform's log service.
+ * The client of the platform's log service.
  *
  * @module
  */
@@ -21,23 +21,23 @@
   clock: Clock;
   /** `ip:port` of the log service. */
   address: string;
-  /** An append without an answer after this time may or may not have happened. */
+  /** Timeout of an append; after it the record may or may not be in the log. */
   appendTimeoutMs: Millis;
 }
 
-/** Where to read. */
+/** Options of {@linkcode LogClient.read}. */
 export interface ReadOptions {
   from: number;
-  /** How long the log may wait for a record before it answers with none. */
+  /** How long the log may wait for a record before it answers without one. */
   waitMs: Millis;
   signal: AbortSignal;
 }
 
-/** The log service. */
+/** A client of the log service. */
 export interface LogClient {
   /**
    * Appends a record. A failure with `may_have_run` means that the record may
-   * stand in the log, now or later.
+   * be in the log, now or later.
    */
   append(stream: LogStream, value: unknown): Promise<
     Result<AppendAck, Failure>
@@ -51,10 +51,10 @@
 const CREATED = 201;
 const OK = 200;
 const NOT_APPENDED = new Set([400, 404, 413, 429, 503]);
-/** How much longer than the asked waiting time a read may take. */
+/** How much longer than the requested wait a read may take. */
 const READ_TIMEOUT_MARGIN: Millis = 2_000;
 
-/** Creates the handle; it connects on the first call. */
+/** Creates the client; it connects on the first call. */
 export function createLogClient(
   { clock, address, appendTimeoutMs }: LogClientOptions,
 ): LogClient {
--- a/packages/log/src/log_contract_test.ts
+++ b/packages/log/src/log_contract_test.ts
@@ -42,7 +42,7 @@
     return page.value;
   }
 
-  it("gives appended records back in order, each at its offset", async () => {
+  it("returns appended records in order, each at its offset", async () => {
     const first = await log.append("config", { n: 1 });
     const second = await log.append("config", { n: 2 });
     expect(
@@ -56,7 +56,7 @@
     ]);
   });
 
-  it("lets a reader wait for the next record", async () => {
+  it("lets a read wait for the next record", async () => {
     const { next } = await readAll();
     const waiting = log.read("config", {
       from: next,
@@ -68,10 +68,10 @@
     expect(page.isOk && page.value.records.length).to.equal(1);
   });
 
-  // An operator publishes; the log takes the record, the answer is lost. The
-  // publish shows as failed although it is in force, because the connection
-  // broke after the append took effect.
-  it("says may_have_run when the answer to an append is lost", async () => {
+  // Guards against a publish that is reported as failed although it is in
+  // force: the log appends the record, and the connection breaks before the
+  // answer.
+  it("reports may_have_run when the answer to an append is lost", async () => {
     standin.faults.loseAnswers = 1;
     const ack = await log.append("config", "once");
     expect(ack.isErr && ack.error.verdict).to.equal("may_have_run");
@@ -79,26 +79,26 @@
   });
 
   const NOT_APPENDED = [
-    { name: "is away", prepare: () => standin.faults.away = true },
-    { name: "is gone", prepare: () => standin.stop() },
+    { name: "is unavailable", prepare: () => standin.faults.away = true },
+    { name: "is stopped", prepare: () => standin.stop() },
   ] as const;
 
   for (const { name, prepare } of NOT_APPENDED) {
-    it(`says not_run for an append while the log ${name}`, async () => {
+    it(`reports not_run for an append while the log ${name}`, async () => {
       await prepare();
       const ack = await log.append("config", "never");
       expect(ack.isErr && ack.error.verdict).to.equal("not_run");
-      if (name === "is gone") standin = await startLogService({ clock });
+      if (name === "is stopped") standin = await startLogService({ clock });
     });
   }
 
-  it("says may_have_run for an append that the log never answers", async () => {
+  it("reports may_have_run for an append that the log never answers", async () => {
     standin.faults.hangs = true;
     const ack = await log.append("config", "perhaps");
     expect(ack.isErr && ack.error.verdict).to.equal("may_have_run");
   });
 
-  it("refuses appends over its rate with not_run", async () => {
+  it("rejects appends above its rate with not_run", async () => {
     const slow = await startLogService({ clock, maxAppendsPerSecond: 1 });
     const client = createLogClient({
       clock,
@@ -133,7 +133,7 @@
     });
   }
 
-  it("refuses a page whose records are out of order", async () => {
+  it("rejects a page whose records are out of order", async () => {
     const records = [2, 1].map((offset) => ({ offset, time: 0, value: 0 }));
     const server = await startScriptedServer({
       kind: "bytes",
@@ -146,12 +146,12 @@
       address: server.address,
       appendTimeoutMs: 300,
     });
-    const reading = client.read("config", {
+    const read = client.read("config", {
       from: 0,
       waitMs: 0,
       signal: AbortSignal.timeout(200),
     });
-    expect((await reading).isErr).to.equal(true);
+    expect((await read).isErr).to.equal(true);
     await client.close();
     await server.stop();
   });
@@ -164,10 +164,10 @@
     const clock = createFakeClock();
     const ended = new AbortController();
     const events: TailEvent[] = [];
-    const asked: number[] = [];
+    const offsets: number[] = [];
     const log: Pick<LogClient, "read"> = {
       read(_stream, { from }) {
-        asked.push(from);
+        offsets.push(from);
         const next = pages.shift();
         if (next !== undefined) return next();
         ended.abort();
@@ -185,7 +185,7 @@
     const observed = tail.events.observe((event) => void events.push(event));
     await clock.advance(20_000);
     await Promise.all([tail.task, observed]);
-    return { events, asked };
+    return { events, offsets };
   }
 
   function ok(page: {
@@ -196,7 +196,7 @@
     return Promise.resolve(Result.ok(page));
   }
 
-  function away(): Promise<Page> {
+  function failRead(): Promise<Page> {
     return Promise.resolve(Result.err({
       kind: "unavailable",
       verdict: "not_run",
@@ -206,11 +206,11 @@
 
   const record = (offset: number) => ({ offset, time: 0, value: offset });
 
-  it("hands on each record once, over an outage", async () => {
+  it("emits each record once across an outage", async () => {
     const { events } = await collect([
       () => ok({ first: 0, next: 2, records: [record(0), record(1)] }),
-      away,
-      away,
+      failRead,
+      failRead,
       () => ok({ first: 0, next: 3, records: [record(1), record(2)] }),
     ]);
     const records = events.flatMap((event) =>
@@ -220,17 +220,18 @@
     expect(events.filter(({ kind }) => kind === "away").length).to.equal(2);
   });
 
-  // A reader is away for longer than the log keeps records. Without a word it
-  // would take the next record for the one after its last, because offsets it
-  // has not seen look like offsets that do not exist.
-  it("tells that records expired before they were read", async () => {
-    const { events, asked } = await collect([
+  // Guards against unnoticed gaps. A reader does not read for longer than the
+  // log keeps records. Offsets that expired unread look like offsets that
+  // never existed, so without an event the next record would seem to follow
+  // its last.
+  it("reports that records expired before they were read", async () => {
+    const { events, offsets } = await collect([
       () => ok({ first: 0, next: 1, records: [record(0)] }),
       () => ok({ first: 7, next: 8, records: [record(7)] }),
     ]);
     expect(events.filter(({ kind }) => kind === "trimmed")).to.deep.equal([
       { kind: "trimmed", first: 7 },
     ]);
-    expect(asked.at(-1)).to.equal(8);
+    expect(offsets.at(-1)).to.equal(8);
   });
 });
--- a/packages/log/src/log_tail.ts
+++ b/packages/log/src/log_tail.ts
@@ -1,5 +1,6 @@
 /**
- * Follows a stream of the log as a `most` stream of events, across outages.
+ * Follows a stream of the log, as a `most` stream of events that continues
+ * after outages.
  *
  * @module
  */
@@ -9,14 +10,14 @@
 import type { LogClient } from "./log_client.ts";
 import type { LogPage, LogRecord, LogStream } from "./records.ts";
 
-/** What a reader of the tail sees. */
+/** An event of the tail. */
 export type TailEvent =
   | { kind: "record"; record: LogRecord }
-  /** Records before `first` expired before this reader read them. */
+  /** Records before `first` expired before they were read. */
   | { kind: "trimmed"; first: number }
-  /** Everything that the log held at the time was read. */
+  /** All records that were in the log at the time have been read. */
   | { kind: "caught_up"; next: number }
-  /** The log cannot be read at present. */
+  /** The log is currently unavailable. */
   | { kind: "away"; message: string };
 
 /** Options of {@linkcode startLogTail}. */
@@ -26,16 +27,18 @@
   stream: LogStream;
   from: number;
   signal: AbortSignal;
-  /** How long one read waits at the log for news. */
+  /** How long one read waits at the log for new records. */
   waitMs?: Millis;
-  /** Returns a number from 0 up to 1; spreads readers after an outage. */
+  /**
+   * Returns a number from 0 up to 1, for the jitter of reads after an outage.
+   */
   random: () => number;
 }
 
 /** A running tail. */
 export interface LogTail {
   readonly events: Stream<TailEvent>;
-  /** The task that reads; ends when the signal aborts. */
+  /** The task that reads; it ends when the signal aborts. */
   readonly task: Promise<void>;
 }
 
@@ -59,7 +62,8 @@
   let backoff = INITIAL_BACKOFF;
   let hasCaughtUp = false;
   while (!signal.aborted) {
-    // The first read must not wait: whoever starts wants to know the end.
+    // Until the end is reached, reads do not wait: a process that starts needs to
+    // know the end.
     const wait = hasCaughtUp ? waitMs : 0;
     const page = await log.read(stream, { from: next, waitMs: wait, signal });
     if (signal.aborted) break;
@@ -84,7 +88,7 @@
 ): number {
   if (page.first > next) subject.push({ kind: "trimmed", first: page.first });
   for (const record of page.records) {
-    // A record below the asked offset was handed on before.
+    // A record below the requested offset was emitted before.
     if (record.offset >= next) subject.push({ kind: "record", record });
   }
   return Math.max(next, page.next, page.first);
--- a/packages/log/src/records.ts
+++ b/packages/log/src/records.ts
@@ -11,17 +11,17 @@
  */
 import * as z from "zod";
 
-/** The streams that the system keeps in the log. */
+/** The streams that the system stores in the log. */
 export type LogStream = "config" | "claims" | "leases";
 
-/** Where the log put a record. */
+/** The position of an appended record. */
 export const appendAckSchema = z.object({
   offset: z.number().int().min(0),
   /** The log's clock, milliseconds since the Unix epoch. */
   time: z.number().min(0),
 });
 
-/** Where the log put a record. */
+/** The position of an appended record. */
 export type AppendAck = z.infer<typeof appendAckSchema>;
 
 const logRecordSchema = z.object({
@@ -39,7 +39,7 @@
 
 /** A page of records. */
 export const logPageSchema = z.object({
-  /** The oldest offset still kept. */
+  /** The oldest offset that has not expired. */
   first: z.number().int().min(0),
   /** The offset after the last record of this page. */
   next: z.number().int().min(0),
--- a/packages/services/src/mod.ts
+++ b/packages/services/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Plain services, some of whose calls may not be repeated.
+ * The client of plain services, some of whose calls must not be repeated.
  *
  * @module
  */
--- a/packages/services/src/service_client.ts
+++ b/packages/services/src/service_client.ts
@@ -1,5 +1,5 @@
 /**
- * Plain services, some of whose calls may not be repeated.
+ * The client of plain services, some of whose calls must not be repeated.
  *
  * Wire format: `POST /call/{path}` with any body. The service answers with any
  * status and body; an echoed `x-request-id` must be the one sent.
@@ -26,7 +26,7 @@
   signal: AbortSignal;
 }
 
-/** The answer of a service, passed on as it is. */
+/** The answer of a service, which is forwarded unchanged. */
 export interface ServiceReply {
   status: number;
   contentType: string;
@@ -37,11 +37,11 @@
 export interface ServiceClientOptions {
   clock: Clock;
   onAnswer: OnAnswer;
-  /** Told when a result was dropped because its echo differs from the call. */
+  /** Called if a result is dropped because its echo does not match the call. */
   onDropped: (call: CallIdentity) => void;
 }
 
-/** All plain-service endpoints of a site. */
+/** A client of all plain-service endpoints of a site. */
 export interface ServiceClient {
   call(call: ServiceCall): Promise<Result<ServiceReply, Failure>>;
   close(): Promise<void>;
@@ -50,7 +50,7 @@
 const FIRST_SERVER_ERROR = 500;
 const DEFAULT_CONTENT_TYPE = "application/octet-stream";
 
-/** Creates the handle. */
+/** Creates the client. */
 export function createServiceClient(
   { clock, onAnswer, onDropped }: ServiceClientOptions,
 ): ServiceClient {
--- a/packages/services/src/service_contract_test.ts
+++ b/packages/services/src/service_contract_test.ts
@@ -55,7 +55,7 @@
     });
   }
 
-  it("passes the service's answer on", async () => {
+  it("forwards the answer of the service", async () => {
     const reply = await call();
     expect(reply.isOk && JSON.parse(reply.value.text))
       .to.deep.equal(deriveServiceAnswer("notice", BODY));
@@ -63,14 +63,14 @@
 
   const FAULTS = [
     { name: "a lost answer", faults: { loseAnswers: 1 } },
-    { name: "a cut answer", faults: { cutAnswers: 1 } },
+    { name: "a truncated answer", faults: { cutAnswers: 1 } },
     { name: "a failure after it ran", faults: { failures: 1 } },
     { name: "a service that hangs", faults: { hangs: true } },
     { name: "an answer for another request", faults: { wrongEchoes: 1 } },
   ] as const;
 
   for (const { name, faults } of FAULTS) {
-    it(`never claims not_run for ${name}`, async () => {
+    it(`never reports not_run for ${name}`, async () => {
       Object.assign(standin.faults, faults);
       const reply = await call();
       expect(reply.isErr && reply.error.verdict).to.equal("may_have_run");
@@ -78,7 +78,7 @@
     });
   }
 
-  it("believes a refusal with not_run", async () => {
+  it("trusts a refusal with not_run", async () => {
     standin.leave();
     const reply = await call();
     expect(reply.isErr && reply.error.verdict).to.equal("not_run");
--- a/packages/shared/src/amount.ts
+++ b/packages/shared/src/amount.ts
@@ -1,10 +1,10 @@
 /**
- * Amounts in headers.
+ * Parses amounts in headers.
  *
  * @module
  */
 
-/** A decimal number that is not negative; undefined for any other text. */
+/** Parses a non-negative decimal number; undefined for any other text. */
 export function parseAmount(text: string | undefined): number | undefined {
   if (text === undefined || text.trim() === "") return undefined;
   const amount = Number(text);
--- a/packages/shared/src/bounded_map.ts
+++ b/packages/shared/src/bounded_map.ts
@@ -1,17 +1,17 @@
 /**
- * Maps that drop what was put in first, so that they do not grow for ever.
+ * Maps of bounded size, which evict the entry that was inserted first.
  *
  * @module
  */
 
-/** Puts an entry; above `most` the one that was put in first is dropped. */
+/** Sets an entry; above `maxSize` entries, evicts the one inserted first. */
 export function putBounded<K, V>(
   map: Map<K, V>,
   [key, value]: readonly [key: K, value: V],
-  most: number,
+  maxSize: number,
 ): void {
   map.set(key, value);
-  if (map.size <= most) return;
+  if (map.size <= maxSize) return;
   const [first] = map.keys();
   map.delete(first as K);
 }
--- a/packages/shared/src/bounded_map_test.ts
+++ b/packages/shared/src/bounded_map_test.ts
@@ -8,7 +8,7 @@
     { name: "a key again", keys: ["a", "b", "a"], left: ["a", "b"] },
   ];
   for (const { name, keys, left } of CASES) {
-    it(`keeps what was put in last: ${name}`, () => {
+    it(`keeps the keys that were inserted last: ${name}`, () => {
       const map = new Map<string, number>();
       keys.forEach((key, index) => putBounded(map, [key, index], 2));
       expect([...map.keys()]).to.deep.equal(left);
--- a/packages/shared/src/causal_clock.ts
+++ b/packages/shared/src/causal_clock.ts
@@ -13,17 +13,17 @@
   counter: number;
 }
 
-/** Gives each event a time later than everything that the process has seen. */
+/** Assigns each event a time later than all times that the process has seen. */
 export interface CausalClock {
   /** The time of a local event or of a message about to be sent. */
   tick(): CausalTime;
-  /** Takes in the time that came with a message; faulty text is ignored. */
+  /** Merges the time of a received message; malformed text is ignored. */
   observe(text: string | undefined): void;
 }
 
 /**
- * A peer whose clock is further ahead than this is not followed, or one broken
- * wall clock would pull every process of the site along.
+ * Times further ahead than this are ignored. Otherwise one wrong wall clock
+ * would set the causal clocks of all processes of the site ahead.
  */
 const MAX_AHEAD: Millis = 60_000;
 const TIME_PATTERN = /^(\d{1,15})\.(\d{1,9})$/;
@@ -59,7 +59,7 @@
   return `${time.millis}.${time.counter}`;
 }
 
-/** Parses what {@linkcode formatCausalTime} wrote. */
+/** Parses the text that {@linkcode formatCausalTime} returns. */
 export function parseCausalTime(text: string): CausalTime | undefined {
   const match = TIME_PATTERN.exec(text);
   if (match === null) return undefined;
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * The one clock type of the project. All times and durations are milliseconds.
+ * The clock type of the project. All times and durations are in milliseconds.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 /** Cancels a timer; calling it twice is harmless. */
 export type CancelTimer = () => void;
 
-/** Where code reads the time and waits. Tests pass a fake. */
+/** Source of time, timers and waits. Tests pass a fake. */
 export interface Clock {
   /** Milliseconds since the Unix epoch; never runs backwards in one process. */
   now(): Millis;
@@ -22,7 +22,7 @@
 
 /**
  * Creates the clock of a running process. It reads the wall clock once and then
- * follows the monotonic clock, because a wall clock that is set back would make
+ * follows the monotonic clock, because setting the wall clock back would make
  * expired leases and bindings valid again.
  */
 export function createSystemClock(): Clock {
@@ -43,7 +43,7 @@
   signal: AbortSignal | undefined;
 }
 
-/** Shared by the system clock and the fake clock. */
+/** Implements `sleep` for the system clock and the fake clock. */
 export function waitFor(
   startTimer: Clock["startTimer"],
   { delay, signal }: WaitOptions,
--- a/packages/shared/src/fake_clock.ts
+++ b/packages/shared/src/fake_clock.ts
@@ -1,14 +1,14 @@
 /**
- * A clock for tests that moves only when told to.
+ * A clock for tests, which advances only on request.
  *
  * @module
  */
 import type { CancelTimer, Clock, Millis } from "./clock.ts";
 import { waitFor } from "./clock.ts";
 
-/** A {@linkcode Clock} whose time a test moves by hand. */
+/** A {@linkcode Clock} whose time is advanced by the test. */
 export interface FakeClock extends Clock {
-  /** Moves time forward, firing due timers in order and letting promises settle. */
+  /** Advances the time, fires due timers in order and lets promises settle. */
   advance(duration: Millis): Promise<void>;
 }
 
--- a/packages/shared/src/http_client.ts
+++ b/packages/shared/src/http_client.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP calls by undici with a typed outcome that says whether the call can
- * have reached the other side.
+ * HTTP calls by undici with a typed outcome, which includes whether the server
+ * can have received the call.
  *
  * @module
  */
@@ -17,13 +17,13 @@
 import { createPersistentConnections } from "./persistent_connections.ts";
 import { TIMED_OUT } from "./timeout.ts";
 
-/** Why a call got no usable answer. */
+/** Why a call has no usable answer. */
 export type HttpFaultKind =
   /** No connection: the call was never sent. */
   | "unreachable"
-  /** Given up by this side. */
+  /** Aborted by this side. */
   | "aborted"
-  /** The connection ended before the whole answer was there. */
+  /** The connection ended before the answer was complete. */
   | "cut"
   /** The answer is larger than allowed. */
   | "too_large";
@@ -31,15 +31,15 @@
 /** A call without a usable answer. */
 export interface HttpFault {
   kind: HttpFaultKind;
-  /** Whether any byte of the call can have reached the other side. */
+  /** Whether any byte of the call can have reached the server. */
   sent: "no" | "maybe";
   message: string;
 }
 
-/** Headers by lower-case name, as undici gives them. */
+/** Headers by lower-case name, as undici returns them. */
 export type HttpHeaders = Record<string, string | string[] | undefined>;
 
-/** A whole answer. */
+/** A buffered answer. */
 export interface HttpReply {
   status: number;
   headers: HttpHeaders;
@@ -59,7 +59,7 @@
   /** `ip:port`. */
   address: string;
   path: string;
-  /** By name, or names and values in turn. */
+  /** By name, or as alternating names and values. */
   headers?: Record<string, string> | string[];
   body?: string | Buffer;
   signal?: AbortSignal;
@@ -67,27 +67,27 @@
 
 /** Options of {@linkcode createHttpClient}. */
 export interface HttpClientOptions {
-  /** Answers larger than this are a fault, in bytes. */
+  /** Maximum size of an answer, in bytes; larger ones are faults. */
   maxReplyBytes: number;
   connectTimeoutMs: Millis;
   /**
-   * Whether connections serve more than one call. One that serves a single call
-   * cannot hand a late or doubled answer to the next.
+   * Whether a connection is reused. A connection for a single call cannot
+   * deliver a late or duplicate answer to the next call.
    */
   connections: "kept" | "single";
 }
 
-/** Makes calls. */
+/** An HTTP client. */
 export interface HttpClient {
   call(call: HttpCall): Promise<Result<HttpReply, HttpFault>>;
   callStream(call: HttpCall): Promise<Result<HttpStreamReply, HttpFault>>;
   close(): Promise<void>;
 }
 
-/** An empty line between requests, which servers pass over. */
+/** An empty line between requests, which servers ignore. */
 const PROBE = "\r\n";
 const KEEP_ALIVE: Millis = 4_000;
-/** Error codes that are raised before anything is written. */
+/** Codes of errors that occur before anything is written. */
 const NOT_SENT_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -98,7 +98,7 @@
 const DEFAULT_MAX_REPLY_BYTES = 4_194_304;
 const DEFAULT_CONNECT_TIMEOUT: Millis = 1_000;
 
-/** Creates a client; one for each kind of peer. */
+/** Creates a client; use one for each kind of server. */
 export function createHttpClient(
   {
     maxReplyBytes = DEFAULT_MAX_REPLY_BYTES,
@@ -117,11 +117,11 @@
     if (call.signal?.aborted) {
       return Result.err({ kind: "aborted", sent: "no", message: "given up" });
     }
-    const link = connections === "single"
+    const singleUse = connections === "single"
       ? createSingleUseConnection(call.address, connectTimeoutMs)
       : undefined;
     try {
-      const dispatcher: Dispatcher = link?.dispatcher ??
+      const dispatcher: Dispatcher = singleUse?.dispatcher ??
         kept.getPool(call.address);
       const { statusCode, headers, body } = await dispatcher.request(
         createRequestOptions(call),
@@ -129,10 +129,10 @@
       return Result.ok({
         status: statusCode,
         headers,
-        body: link === undefined ? body : link.wrapBody(body),
+        body: singleUse === undefined ? body : singleUse.wrapBody(body),
       });
     } catch (error) {
-      void link?.dispatcher.destroy();
+      void singleUse?.dispatcher.destroy();
       if (call.signal?.reason === TIMED_OUT) kept.discard(call.address);
       return Result.err(classifyError(error, call.signal));
     }
@@ -148,26 +148,27 @@
       maxReplyBytes,
       signal: options.signal,
     });
-    return text.map((whole) => ({ status, headers, text: whole }));
+    return text.map((complete) => ({ status, headers, text: complete }));
   }
 
   return { call, callStream, close: kept.close };
 }
 
-/** A connection for one call, which knows how it ended. */
+/** A connection for one call, which detects a reset. */
 interface SingleUseConnection {
   dispatcher: Client;
-  /** The body, which fails if the connection was reset. */
+  /** Wraps the body so that it fails if the connection was reset. */
   wrapBody(body: Readable): Readable;
 }
 
 /**
- * An answer without a length ends with its connection, and half of it would look
- * whole after a reset. undici takes a reset for the end where the connection is
- * not to be kept; and libuv tells a plain end if the reset is there with the
- * last bytes. So the socket is watched from before undici sees it, and at its
- * end two bytes are written, which only a connection that was closed in order
- * still takes.
+ * Creates a connection that detects truncated answers. An answer without a
+ * length ends with its connection, so after a reset a part of it would look
+ * complete. undici treats a reset as the end if the connection is not
+ * persistent, and libuv reports a normal end if the reset arrives together
+ * with the last bytes. So this listens to the socket before undici does, and
+ * when the socket ends it writes two bytes, which succeeds only if the
+ * connection was closed normally.
  */
 function createSingleUseConnection(
   address: string,
@@ -178,7 +179,7 @@
   let probe: Promise<void> | undefined;
 
   function watchSocket(socket: Socket): void {
-    // Or the socket's own end would refuse the probe.
+    // Without this the socket closes its own side and the probe fails.
     socket.allowHalfOpen = true;
     socket.on("error", recordError);
     socket.once("end", () => {
@@ -192,8 +193,8 @@
   }
 
   function recordError(error: Error): void {
-    // undici's own errors, such as for a plain close, come from no call of the
-    // system.
+    // Errors that undici raises itself, such as for a normal close, come from
+    // no system call.
     if ("syscall" in error) isReset = true;
   }
 
@@ -204,7 +205,7 @@
     connect(options, callback) {
       connect(options, (...outcome) => {
         const [, socket] = outcome;
-        // Absent after a failure, whatever the types say.
+        // Absent after a failure, although the types do not say so.
         if (socket) watchSocket(socket);
         callback(...outcome);
       });
@@ -222,14 +223,14 @@
   }
 
   function wrapBody(body: Readable): Readable {
-    const guarded = NodeReadable.from(read(body), { objectMode: false });
-    // A body that nobody begins to read never enters the generator.
-    guarded.once("close", () => {
+    const wrapped = NodeReadable.from(read(body), { objectMode: false });
+    // If nobody reads the body, the generator and its `finally` never run.
+    wrapped.once("close", () => {
       body.on("error", () => {});
       body.destroy();
       void dispatcher.destroy();
     });
-    return guarded;
+    return wrapped;
   }
 
   return { dispatcher, wrapBody };
@@ -248,7 +249,7 @@
   };
 }
 
-/** Reads a body to its end; undefined when it broke off or is too large. */
+/** Reads a complete body; undefined if it is truncated or too large. */
 export async function readBodyBytes(
   body: AsyncIterable<Buffer>,
   limit: number,
@@ -263,7 +264,7 @@
     }
     return NodeBuffer.concat(chunks);
   } catch {
-    // Whether it broke off or was given up, there is no whole body.
+    // Whether it was truncated or aborted, the body is not complete.
     return undefined;
   }
 }
@@ -310,7 +311,7 @@
   if (NOT_SENT_CODES.has(code)) {
     return { kind: "unreachable", sent: "no", message };
   }
-  // A reset connection may have carried the call before it broke.
+  // The call may have been sent before the connection was reset.
   return { kind: "cut", sent: "maybe", message };
 }
 
@@ -319,7 +320,7 @@
   return String(error.code);
 }
 
-/** Parses the JSON body of an answer; undefined when it is malformed. */
+/** Parses the JSON body of an answer; undefined if it is malformed. */
 export function readReplyJson(reply: HttpReply): unknown {
   return parseJson(reply.text);
 }
--- a/packages/shared/src/http_client_test.ts
+++ b/packages/shared/src/http_client_test.ts
@@ -4,12 +4,12 @@
 import { expect } from "chai";
 import { createHttpClient, readBodyBytes } from "./http_client.ts";
 
-/** A reset at once reaches the client together with the last bytes. */
+/** With `reset_at_once` the reset arrives together with the last bytes. */
 type Ending = "close" | "reset" | "reset_at_once";
 
 interface RawServer {
   server: Server;
-  /** Ends the connection; to be called when its bytes were read. */
+  /** Ends the connection; call it once the client has read the bytes. */
   end(): void;
 }
 
@@ -45,7 +45,7 @@
   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n";
 const SIZED = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
 
-describe("calls over a connection of their own", () => {
+describe("calls over single-use connections", () => {
   const http = createHttpClient({ connections: "single" });
 
   after(() => http.close());
@@ -74,13 +74,13 @@
     return body?.toString();
   }
 
-  it("takes an answer without length that ends with its connection", async () => {
+  it("accepts an answer without a length that ends with its connection", async () => {
     expect(await read(UNFRAMED, "close")).to.equal("half");
   });
 
-  // An endpoint crashes in the middle of an answer. The caller would get half
-  // of it, framed as complete: the HTTP client takes a reset for the end where
-  // the connection is not to be kept.
+  // Guards against truncated answers that are passed on as complete. An
+  // endpoint crashes in the middle of an answer, and undici treats the reset
+  // as the end of the body if the connection is not persistent.
   for (
     const { name, text, ending } of [
       { name: "without length that is reset", text: UNFRAMED, ending: "reset" },
@@ -95,7 +95,7 @@
       { name: "with a length that is closed", text: SIZED, ending: "close" },
     ] as const
   ) {
-    it(`takes no answer ${name} for whole`, async () => {
+    it(`does not treat an answer ${name} as complete`, async () => {
       expect(await read(text, ending)).to.equal(undefined);
     });
   }
--- a/packages/shared/src/http_server.ts
+++ b/packages/shared/src/http_server.ts
@@ -1,6 +1,6 @@
 /**
- * Small helpers around Node's HTTP server: bounded bodies, JSON answers,
- * listening and closing.
+ * Helpers for Node's HTTP server: size-limited bodies, JSON responses, start
+ * and stop.
  *
  * @module
  */
@@ -15,19 +15,24 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** An address to listen on: IP number and port; port 0 takes any free one. */
+/** An address to listen on: IP address and port; port 0 selects a free port. */
 export interface ListenAddress {
   host: string;
   port: number;
 }
 
-/** Limits of a server towards slow, large or many senders. */
+/** Limits that protect a server from slow, large or many requests. */
 export interface ServerLimits {
   maxHeaderBytes: number;
-  /** A request whose headers or body take longer is answered 408 and closed. */
+  /**
+   * Timeout of headers and body; the answer is 408 and the connection is
+   * closed.
+   */
   requestTimeoutMs: number;
   maxConnections: number;
-  /** A connection without a request is closed after this; else after some seconds. */
+  /**
+   * Timeout of idle connections; Node's default of some seconds if left out.
+   */
   idleTimeoutMs?: number;
 }
 
@@ -66,7 +71,7 @@
   return `${address}:${port}`;
 }
 
-/** Stops accepting and resolves when open connections are done. */
+/** Stops accepting connections and resolves when the open ones are closed. */
 export async function stopServer(server: Server): Promise<void> {
   const closed = new Promise<void>((resolve) => server.close(() => resolve()));
   server.closeIdleConnections();
@@ -105,7 +110,7 @@
   headers?: Record<string, string>;
 }
 
-/** Sends a JSON answer, unless the connection is gone or already answered. */
+/** Sends a JSON response, unless one was sent or the connection is closed. */
 export function sendJson(
   response: ServerResponse,
   { status, body, headers }: SendJsonOptions,
@@ -120,7 +125,7 @@
   response.end(bytes);
 }
 
-/** Parses JSON; undefined when it is malformed. */
+/** Parses JSON; undefined if it is malformed. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/packages/shared/src/listening.ts
+++ b/packages/shared/src/listening.ts
@@ -1,18 +1,18 @@
 /**
- * Whether anything listens at an address, by opening a connection and closing
- * it again.
+ * Checks whether a process listens at an address, by opening a connection and
+ * closing it again.
  *
  * @module
  */
 import { connect } from "node:net";
 import type { Clock, Millis } from "./clock.ts";
 
-/** What an address says to a new connection. */
+/** The result of a connection attempt. */
 export type Listening =
   | "listening"
-  /** The instance answers and no process listens there. */
+  /** The instance refused the connection: no process listens there. */
   | "refused"
-  /** No answer in time, or another error: nothing is known. */
+  /** A timeout or another error: the state is unknown. */
   | "silent";
 
 /** Options of {@linkcode checkListening}. */
@@ -21,7 +21,7 @@
   timeout: Millis;
 }
 
-/** Asks once; `address` is `ip:port`. */
+/** Tries one connection; `address` is `ip:port`. */
 export function checkListening(
   address: string,
   { clock, timeout }: ListeningOptions,
--- a/packages/shared/src/listening_test.ts
+++ b/packages/shared/src/listening_test.ts
@@ -4,8 +4,8 @@
 import { createSystemClock } from "./clock.ts";
 import { checkListening } from "./listening.ts";
 
-describe("asking whether anything listens", () => {
-  it("tells a process that listens from one that has ended", async () => {
+describe("check for a listening process", () => {
+  it("distinguishes a listening process from one that has ended", async () => {
     const options = { clock: createSystemClock(), timeout: 2_000 };
     const server = createServer().listen(0, "127.0.0.1");
     await new Promise((resolve) => server.once("listening", resolve));
--- a/packages/shared/src/logger.ts
+++ b/packages/shared/src/logger.ts
@@ -1,12 +1,12 @@
 /**
- * Logs by pino: short sentences, each behind the fixed prefix of its part.
+ * Logging by pino: short sentences, each with the fixed prefix of its part.
  *
  * @module
  */
 import type { Logger as PinoLogger } from "pino";
 import { destination, pino } from "pino";
 
-/** The parts of the system that write logs; each is a fixed prefix. */
+/** The parts of the system that write logs; each name is a prefix. */
 export type LogPart =
   | "admission"
   | "callers"
@@ -22,10 +22,12 @@
   | "standin"
   | "streams";
 
-/** How much is logged. */
+/** The minimum level that is logged. */
 export type LogLevel = "silent" | "error" | "warn" | "info" | "debug";
 
-/** Writes log lines; `forPart` gives the same log with a part's prefix. */
+/**
+ * Writes log lines; `forPart` returns the same log with the prefix of a part.
+ */
 export interface Logger {
   error(message: string, fields?: Record<string, unknown>): void;
   warn(message: string, fields?: Record<string, unknown>): void;
@@ -39,16 +41,17 @@
   /** The name of this process, on every line. */
   process: string;
   level: LogLevel;
-  /** Where lines go; standard error unless standard output is free for them. */
+  /** The output; standard error unless nothing else uses standard output. */
   output?: "stdout" | "stderr";
 }
 
 const STANDARD_OUTPUT = 1;
 const STANDARD_ERROR = 2;
 /**
- * Lines are written by a thread, so that a reader who does not read cannot block
- * the process; what does not fit is dropped. They are gathered for a while, as a
- * write costs as much as some lines; at an exit the rest is written.
+ * Lines are written asynchronously, so that a reader that does not read cannot
+ * block the process; lines that do not fit into the buffer are dropped. Lines
+ * are buffered before a write, as one write costs as much as several lines;
+ * the rest is flushed at exit.
  */
 const WRITE_BUFFER = {
   minLength: 8_192,
@@ -58,7 +61,7 @@
 };
 const SECRET_FIELDS = ["key", "keys", "authorization", "siteKey", "token"];
 
-/** Creates the log of one process; lines go out as NDJSON. */
+/** Creates the log of one process; lines are written as NDJSON. */
 export function createLogger(
   { process, level, output = "stderr" }: LoggerOptions,
 ): Logger {
@@ -71,7 +74,7 @@
   return wrapLogger(root);
 }
 
-/** Creates a log that drops everything; for tests and embedding. */
+/** Creates a log that discards everything; for tests and embedding. */
 export function createSilentLogger(): Logger {
   return wrapLogger(pino({ level: "silent" }));
 }
--- a/packages/shared/src/mod.ts
+++ b/packages/shared/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Small helpers that every other package uses.
+ * Helpers that are shared by all packages.
  *
  * @module
  */
--- a/packages/shared/src/persistent_connections.ts
+++ b/packages/shared/src/persistent_connections.ts
@@ -1,35 +1,39 @@
 /**
- * Connections that are kept for the next call to the same address.
+ * Persistent connections, which are reused for the next call to the same
+ * address.
  *
- * Those to one address may all fall silent at the same moment, without a reset.
- * Only a call without an answer shows it, and each further one that is tried
- * would cost a call's time as well; so one such call is enough to leave all of
- * them behind.
+ * All connections to an address can stop responding at the same moment,
+ * without a reset. Only a call that times out shows this, and each further
+ * connection that is tried would cost another timeout. So one such call is
+ * enough to replace all connections to the address.
  *
  * @module
  */
 import { Pool } from "undici";
 import type { Millis } from "./clock.ts";
 
-/** The kept connections of one kind of peer. */
+/** The persistent connections to one kind of server. */
 export interface PersistentConnections {
-  /** What sends to an address; use it for one call only. */
+  /** Gets the connection pool of an address; use it for one call only. */
   getPool(address: string): Pool;
-  /** A call there got no answer: the next one opens a connection. */
+  /** Discards the pool of an address after a call without an answer. */
   discard(address: string): void;
   close(): Promise<void>;
 }
 
 /** Options of {@linkcode createPersistentConnections}. */
 export interface PersistentConnectionsOptions {
-  /** How long a connection is kept without a call, unless its server tells. */
+  /** How long an idle connection is kept if its server sends no timeout. */
   keepAlive: Millis;
-  /** The longest time that a server's word is followed; undici's if left out. */
+  /**
+   * Upper bound of keep-alive times that servers send; undici's default if
+   * left out.
+   */
   maxKeepAlive?: Millis;
   connectTimeout: Millis;
 }
 
-/** Creates the connections of a process that has called nobody. */
+/** Creates an empty set of connection pools. */
 export function createPersistentConnections(
   { keepAlive, maxKeepAlive, connectTimeout }: PersistentConnectionsOptions,
 ): PersistentConnections {
@@ -45,8 +49,8 @@
         ? {}
         : { keepAliveMaxTimeout: maxKeepAlive }),
       connectTimeout,
-      // Deadlines are kept by abort signals, which also cover what undici's own
-      // timeouts leave out.
+      // Deadlines are enforced by abort signals, which also cover phases that
+      // undici's own timeouts do not.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -55,16 +59,16 @@
     return pool;
   }
 
-  /** Addresses change with every start of an endpoint, so they pile up. */
+  /** Drops unused pools: every start of an endpoint brings a new address. */
   function dropUnused(address: string, pool: Pool): void {
     const { connected, size } = pool.stats;
     if (connected === 0 && size === 0) dropPool(address, pool);
   }
 
-  /** Calls in progress go on; idle connections are closed. */
+  /** Closes idle connections; calls in progress continue. */
   function dropPool(address: string, pool: Pool): void {
     if (pools.get(address) === pool) pools.delete(address);
-    // It rejects only where the pool was closed before.
+    // close() rejects only if the pool is already closed.
     pool.close().catch(() => {});
   }
 
--- a/packages/shared/src/persistent_connections_test.ts
+++ b/packages/shared/src/persistent_connections_test.ts
@@ -9,8 +9,8 @@
   maxConnections: 10,
 };
 
-describe("kept connections", () => {
-  it("are left behind after a call without an answer, but for those in use", async () => {
+describe("persistent connections", () => {
+  it("are replaced after a call without an answer, except those in use", async () => {
     const sockets: Socket[] = [];
     let finishSlow = () => {};
     const server = await startServer((request, response) => {
--- a/packages/shared/src/server_sent_events.ts
+++ b/packages/shared/src/server_sent_events.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and writes server-sent events (WHATWG HTML, section 9.2), only the
- * `event`, `id` and `data` fields.
+ * Parses and formats server-sent events (WHATWG HTML, section 9.2) with the
+ * fields `event`, `id` and `data` only.
  *
  * @module
  */
@@ -12,13 +12,13 @@
   data: string;
 }
 
-/** Turns chunks of text into whole events, keeping what is incomplete. */
+/** Parses chunks of text into events and buffers an incomplete event. */
 export interface ServerSentEventParser {
-  /** Returns the events completed by `chunk`, or "too_large". */
+  /** Returns the events that `chunk` completes, or "too_large". */
   parse(chunk: string): ServerSentEvent[] | "too_large";
 }
 
-/** An event longer than this is a fault of the sender, in UTF-16 units. */
+/** Maximum length of a valid event, in UTF-16 code units. */
 const MAX_EVENT_LENGTH = 1_048_576;
 
 /** Creates a parser for one connection. */
--- a/packages/shared/src/settings.ts
+++ b/packages/shared/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads settings and other operator files: JSON with comments, checked by a
+ * Parses settings and other operator files: JSON with comments, validated by a
  * schema, with every fault reported at its line and column.
  *
  * @module
@@ -18,11 +18,11 @@
   file: string;
   line: number;
   column: number;
-  /** What was found and what is allowed. */
+  /** The value found and the values allowed. */
   message: string;
 }
 
-/** What {@linkcode parseSettings} reads. */
+/** Input of {@linkcode parseSettings}. */
 export interface SettingsSource {
   file: string;
   text: string;
@@ -31,8 +31,8 @@
 const MAX_FOUND_LENGTH = 60;
 
 /**
- * Parses and checks settings. Nothing is applied unless the whole file is good;
- * otherwise all faults are returned at once, in file order.
+ * Parses and validates settings. A file with any fault is rejected as a whole,
+ * and all its faults are returned together, in file order.
  */
 export function parseSettings<T>(
   schema: z.ZodType<T>,
--- a/packages/shared/src/shared_test.ts
+++ b/packages/shared/src/shared_test.ts
@@ -11,9 +11,9 @@
 import { createTimeline } from "./timeline.ts";
 
 describe("causal clock", () => {
-  // Two entries' wall clocks differ by minutes. Sorted by wall clock, an answer
-  // would stand before its call.
-  it("puts an answer after its call although the clocks differ", () => {
+  // Guards against wrong order of events when the wall clocks of two entries
+  // differ by minutes: sorted by wall clock, an answer would precede its call.
+  it("orders an answer after its call although the clocks differ", () => {
     const ahead = createCausalClock(createFakeClock(50_000));
     const behind = createCausalClock(createFakeClock(10_000));
     const call = ahead.tick();
@@ -21,7 +21,7 @@
     expect(compareCausalTimes(behind.tick(), call)).to.be.above(0);
   });
 
-  it("does not follow a clock that is far ahead, or nonsense", () => {
+  it("ignores times that are far ahead or malformed", () => {
     const clock = createCausalClock(createFakeClock(0));
     for (const text of ["999999999.0", "x", "1.x", "", undefined]) {
       clock.observe(text);
@@ -30,7 +30,7 @@
   });
 });
 
-describe("time line", () => {
+describe("timeline", () => {
   it("keeps the newest events when it is full", () => {
     const timeline = createTimeline({
       process: "e",
@@ -46,7 +46,7 @@
 });
 
 describe("server-sent event parser", () => {
-  it("reads the same events however the text is cut into chunks", () => {
+  it("parses the same events however the text is split into chunks", () => {
     const text = 'event: token\nid: 3\ndata: {"text":"a: b"}\n\n' +
       "event: end\ndata: 1\n\n";
     const expected = createServerSentEventParser().parse(text);
@@ -65,14 +65,14 @@
     );
   });
 
-  it("gives up on an event without end", () => {
+  it("reports an unterminated event that is too large", () => {
     expect(createServerSentEventParser().parse("x".repeat(1_100_000)))
       .to.equal("too_large");
   });
 });
 
 describe("subject", () => {
-  it("hands values to each observer until it ends", async () => {
+  it("emits values to each observer until it ends", async () => {
     const subject = createSubject<number>();
     const seen: number[] = [];
     const observed = subject.stream.observe((value) => void seen.push(value));
--- a/packages/shared/src/subject.ts
+++ b/packages/shared/src/subject.ts
@@ -1,18 +1,18 @@
 /**
- * A `most` stream that code pushes values into. Log tail, instance list, load
- * reports and peer state are all handed on this way.
+ * A `most` stream that code pushes values into, used for the log tail, the
+ * instance list, load reports and peer state.
  *
  * @module
  */
 import type { Disposable, Scheduler, Sink } from "most";
 import { Stream } from "most";
 
-/** The writing end of a stream together with the stream itself. */
+/** A stream together with its writing end. */
 export interface Subject<T> {
   readonly stream: Stream<T>;
-  /** Hands `value` to every observer, in the order in which they subscribed. */
+  /** Emits `value` to every observer, in the order of their subscriptions. */
   push(value: T): void;
-  /** Ends the stream for all observers; later pushes are dropped. */
+  /** Ends the stream for all observers; later values are discarded. */
   end(): void;
 }
 
@@ -21,7 +21,9 @@
   scheduler: Scheduler;
 }
 
-/** Creates a hot stream: observers see what is pushed after they subscribe. */
+/**
+ * Creates a hot stream: observers get the values pushed after they subscribe.
+ */
 export function createSubject<T>(): Subject<T> {
   const observers = new Set<Observer<T>>();
   let hasEnded = false;
--- a/packages/shared/src/task_set.ts
+++ b/packages/shared/src/task_set.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps track of asynchronous tasks (one for each connection and each peer) so
- * that a graceful shutdown can wait for them.
+ * Tracks asynchronous tasks (one for each connection and each peer), so that a
+ * graceful shutdown can wait for them.
  *
  * @module
  */
 
-/** A group of running tasks. */
+/** A set of running tasks. */
 export interface TaskSet {
   readonly size: number;
   /** Adds a task; its rejection is passed to `onError`. */
@@ -14,7 +14,7 @@
   waitUntilEmpty(): Promise<void>;
 }
 
-/** Creates an empty group of tasks. */
+/** Creates an empty set of tasks. */
 export function createTaskSet(onError: (error: unknown) => void): TaskSet {
   const tasks = new Set<Promise<unknown>>();
   function add(task: Promise<unknown>): void {
--- a/packages/shared/src/timeline.ts
+++ b/packages/shared/src/timeline.ts
@@ -1,11 +1,11 @@
 /**
- * The time line of one process: a bounded ring of events in causal order.
+ * The timeline of one process: a ring buffer of events in causal order.
  *
  * @module
  */
 import type { CausalClock, CausalTime } from "./causal_clock.ts";
 
-/** What can happen. Operators filter by these. */
+/** The kinds of events, by which operators filter. */
 export type EventKind =
   | "request_received"
   | "request_refused"
@@ -41,18 +41,18 @@
   detail?: string;
 }
 
-/** One event of the time line. */
+/** One event of the timeline. */
 export interface TimelineEvent extends EventSubject {
   process: string;
   kind: EventKind;
   time: CausalTime;
 }
 
-/** Records events; the oldest are dropped when the ring is full. */
+/** Records events; when the buffer is full, the oldest are evicted. */
 export interface Timeline {
   readonly clock: CausalClock;
   record(kind: EventKind, subject?: EventSubject): void;
-  /** All events still held, oldest first. */
+  /** All events in the buffer, oldest first. */
   list(): TimelineEvent[];
 }
 
@@ -60,13 +60,13 @@
 export interface TimelineOptions {
   process: string;
   clock: CausalClock;
-  /** How many events are held, at about 200 bytes each. */
+  /** Maximum number of events, at about 200 bytes each. */
   capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 8_192;
 
-/** Creates the time line of one process. */
+/** Creates the timeline of one process. */
 export function createTimeline(
   { process, clock, capacity = DEFAULT_CAPACITY }: TimelineOptions,
 ): Timeline {
--- a/packages/shared/src/timeout.ts
+++ b/packages/shared/src/timeout.ts
@@ -1,22 +1,22 @@
 /**
- * A time limit as an abort signal, on the project's clock.
+ * A timeout as an abort signal, on the project's clock.
  *
  * @module
  */
 import type { Clock, Millis } from "./clock.ts";
 
-/** A running time limit. */
+/** A running timeout. */
 export interface Timeout {
-  /** Aborts when the time has passed. */
+  /** Aborts when the timeout expires. */
   readonly signal: AbortSignal;
-  /** Frees the timer; the signal does not abort any more. */
+  /** Cancels the timer; the signal no longer aborts. */
   stop(): void;
 }
 
-/** The reason of a signal that a time limit has aborted. */
+/** The abort reason of a signal whose timeout has expired. */
 export const TIMED_OUT = "timed_out";
 
-/** Starts a time limit; it must be stopped. */
+/** Starts a timeout; the caller must stop it. */
 export function startTimeout(clock: Clock, duration: Millis): Timeout {
   const controller = new AbortController();
   const stop = clock.startTimer(duration, () => controller.abort(TIMED_OUT));
--- a/packages/stages/src/mod.ts
+++ b/packages/stages/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Encoders, retrievers and rerankers.
+ * The client of stage endpoints: encoders, retrievers and rerankers.
  *
  * @module
  */
--- a/packages/stages/src/stage_client.ts
+++ b/packages/stages/src/stage_client.ts
@@ -1,5 +1,5 @@
 /**
- * Encoders, retrievers and rerankers.
+ * The client of stage endpoints: encoders, retrievers and rerankers.
  *
  * Wire format: `POST /run` with
  * `{"request_id":…,"stage":…,"attempt":…,"input":…}` answers 200
@@ -25,20 +25,20 @@
 /** One call of a stage. */
 export interface StageCall extends CallIdentity {
   endpoint: EndpointInfo;
-  /** The caller's text and the output of the stage before. */
+  /** The caller's text and the output of the previous stage. */
   input: StageInput;
   causalTime: string;
   signal: AbortSignal;
 }
 
-/** What every stage gets. */
+/** The input of a stage. */
 export interface StageInput {
   text: string;
-  /** Output of the stage before; null for the first. */
+  /** Output of the previous stage; null for the first stage. */
   previous: unknown;
 }
 
-/** The result of a stage whose echo was checked. */
+/** The result of a stage, after its echo was verified. */
 export interface StageReply {
   output: unknown;
   causalTime: string | undefined;
@@ -48,11 +48,11 @@
 export interface StageClientOptions {
   clock: Clock;
   onAnswer: OnAnswer;
-  /** Told when a result was dropped because its echo differs from the call. */
+  /** Called if a result is dropped because its echo does not match the call. */
   onDropped: (call: CallIdentity) => void;
 }
 
-/** All stage endpoints of a site. */
+/** A client of all stage endpoints of a site. */
 export interface StageClient {
   call(call: StageCall): Promise<Result<StageReply, Failure>>;
   close(): Promise<void>;
@@ -61,7 +61,7 @@
 const replySchema = echoSchema.extend({ output: z.unknown() });
 const OK = 200;
 
-/** Creates the handle. */
+/** Creates the client. */
 export function createStageClient(
   { clock, onAnswer, onDropped }: StageClientOptions,
 ): StageClient {
--- a/packages/stages/src/stage_contract_test.ts
+++ b/packages/stages/src/stage_contract_test.ts
@@ -64,14 +64,15 @@
     };
   }
 
-  it("answers the call's own result", async () => {
+  it("returns the result of the call", async () => {
     const reply = await stages.call(createCall());
     expect(reply.isOk && reply.value.output)
       .to.deep.equal(deriveStageOutput("encode", INPUT));
   });
 
-  // A handler's draft shows the passages of another case: an endpoint answered
-  // one call with the result of another. The echo differs, so it is dropped.
+  // Guards against results of other calls, such as a handler's draft that shows
+  // passages of another case. An endpoint answers one call with the result of
+  // another; its echo does not match, so it is dropped.
   it("drops and counts a result that belongs to another call", async () => {
     standin.faults.wrongEchoes = 1;
     const reply = await stages.call(createCall());
@@ -79,7 +80,7 @@
     expect(dropped).to.equal(1);
   });
 
-  it("believes a refusal of a leaving endpoint and passes the mark on", async () => {
+  it("trusts a refusal of a leaving endpoint and reports its mark", async () => {
     standin.leave();
     const reply = await stages.call(createCall());
     expect(reply.isErr && reply.error).to.include({
@@ -96,7 +97,7 @@
       verdict: "may_have_run",
     },
     {
-      name: "a cut answer",
+      name: "a truncated answer",
       faults: { cutAnswers: 1 },
       verdict: "may_have_run",
     },
@@ -119,14 +120,14 @@
   ] as const;
 
   for (const { name, faults, verdict } of FAULTS) {
-    it(`says ${verdict} for ${name}`, async () => {
+    it(`reports ${verdict} for ${name}`, async () => {
       Object.assign(standin.faults, faults);
       const reply = await stages.call(createCall());
       expect(reply.isErr && reply.error.verdict).to.equal(verdict);
     });
   }
 
-  it("says not_run only when nothing was sent: a refused connection", async () => {
+  it("reports not_run only if nothing was sent: a refused connection", async () => {
     const call = createCall();
     await standin.stop();
     const reply = await stages.call(call);
--- a/packages/weight_store/src/mod.ts
+++ b/packages/weight_store/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's rate-limited weight store.
+ * The client of the platform's rate-limited weight store.
  *
  * @module
  */
--- a/packages/weight_store/src/weight_store_client.ts
+++ b/packages/weight_store/src/weight_store_client.ts
@@ -1,9 +1,9 @@
 /**
- * The platform's rate-limited weight store.
+ * The client of the platform's rate-limited weight store.
  *
  * Wire format: `GET /weights/{name}` answers 200 with
  * `{"name":…,"version":…,"bytes":…}`, 404 for an unknown name, 429 with
- * `retry-after` in seconds when over its rate.
+ * `retry-after` in seconds above its rate limit.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   bytes: z.number().int().min(0),
 });
 
-/** What the store knows of the weights of a model or adapter. */
+/** Metadata of the weights of a model or adapter. */
 export type WeightInfo = z.infer<typeof weightInfoSchema>;
 
 /** Options of {@linkcode createWeightStoreClient}. */
@@ -35,9 +35,12 @@
   timeoutMs: Millis;
 }
 
-/** The weight store. */
+/** A client of the weight store. */
 export interface WeightStoreClient {
-  /** Looks up weights; `overloaded` with `retryAfterMs` at its rate limit. */
+  /**
+   * Looks up weights; fails as `overloaded` with `retryAfterMs` above the rate
+   * limit.
+   */
   find(name: string): Promise<Result<WeightInfo, Failure>>;
   close(): Promise<void>;
 }
@@ -47,7 +50,7 @@
 const TOO_MANY_REQUESTS = 429;
 const DEFAULT_RETRY_AFTER: Millis = 1_000;
 
-/** Creates the handle; it connects on the first call. */
+/** Creates the client; it connects on the first call. */
 export function createWeightStoreClient(
   { clock, address, timeoutMs }: WeightStoreClientOptions,
 ): WeightStoreClient {
--- a/packages/weight_store/src/weight_store_contract_test.ts
+++ b/packages/weight_store/src/weight_store_contract_test.ts
@@ -13,7 +13,7 @@
 describe("weight store contract", () => {
   const clock = createSystemClock();
 
-  it("finds weights and says when to come back over its rate", async () => {
+  it("finds weights, and returns a retry time above its rate limit", async () => {
     const standin = await startWeightStore({ clock, maxPerSecond: 1 });
     const store = createWeightStoreClient({
       clock,
