--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges peer state with other entries, one partner at a time, so that the
- * messages of one entry do not grow with the fleet.
+ * Gossip: exchanges peer state with one other entry at a time, so that the
+ * message load of an entry does not grow with the fleet.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import { decodeHeartbeat, encodeHeartbeat } from "./peer_protocol.ts";
 import type { PoisonNews } from "./run_protocol.ts";
 
-/** What the loop works on. */
+/** Options of {@linkcode startExchangeLoop}. */
 export interface ExchangeLoopOptions {
   clock: Clock;
   /** Returns a number from 0 up to 1. */
@@ -27,73 +27,80 @@
   signal: AbortSignal;
   membership: Membership;
   directory: Pick<EndpointDirectory, "chooseLeavingMarks">;
-  /** Time between two exchanges, spread at random by a quarter. */
+  /** Mean time between two exchanges; the jitter is a quarter of it. */
   interval: Millis;
-  /** Raises the own heartbeat with what is news here. */
+  /** Increments this entry's heartbeat and updates its own record. */
   beat: () => void;
-  /** Control addresses of entries that may not be known yet. */
+  /** Control addresses of entries that may not have been discovered yet. */
   listSeeds: () => readonly string[];
   exchange: (
     address: string,
     message: PeerExchange,
   ) => Promise<Result<PeerExchange, Failure>>;
   markLeaving: (mark: LeavingMark) => void;
-  /** What to tell of limits that endpoints name, at most `count`. */
+  /** Chooses at most `count` updates of limits that endpoints reported. */
   chooseLimitNews?: (count: number) => readonly LimitUpdate[];
-  noteLimitNews?: (news: LimitUpdate) => void;
-  /** What to tell of contents that are turned away; undefined if nothing. */
+  noteLimitNews?: (update: LimitUpdate) => void;
+  /** The quarantined and suspected contents; undefined if there are none. */
   readPoisonNews?: () => PoisonNews | undefined;
-  notePoisonNews?: (news: PoisonNews) => void;
-  /** Told of entries, or of new incarnations of them. */
+  notePoisonNews?: (update: PoisonNews) => void;
+  /** Called for each newly discovered entry or incarnation. */
   onIntroduced: (record: PeerRecord) => void;
-  /** Told of each newer heartbeat. */
+  /** Called for each newer heartbeat. */
   onHeartbeat: (record: PeerRecord) => void;
-  /** Told of each reply, after its news was taken in. */
+  /** Called for each reply, after its updates were applied. */
   onReply: (reply: PeerExchange, address: string) => Promise<void>;
   onUnanswered: (address: string) => void;
-  /** Whether a process listens there; asked about partners that do not answer. */
+  /** Whether a process listens there; used for peers that do not answer. */
   checkListening?: (address: string) => Promise<Listening>;
   onBytes: (direction: "in" | "out", bytes: number) => void;
 }
 
-/** A running exchange. */
+/** A running exchange loop. */
 export interface ExchangeLoop {
-  /** Answers a message of a peer. */
+  /** Applies a message of a peer and returns the reply. */
   answer(message: PeerExchange): PeerExchange;
-  /** Tells some peers at once, such as when this entry begins to leave. */
+  /**
+   * Exchanges with some peers at once, such as when this entry begins to
+   * leave.
+   */
   tellPeers(count?: number): Promise<void>;
   readonly task: Promise<void>;
 }
 
 /**
- * Bounds of a message, which keep its size independent of the fleet. With some
- * thirty heartbeats it takes 2 KB, and among 195 entries nine in ten are heard of
- * within 7 s, before they are suspected.
+ * Bounds of a message, which keep its size independent of the fleet. A message
+ * with about thirty heartbeats takes 2 KB, and among 195 entries nine in ten
+ * heartbeats are less than 7 s old, which is before their entries are
+ * suspected.
  */
 const MAX_RECORDS = 24;
-/** Introductions take as much as ten heartbeats each. */
+/** An introduction, which is a full record, is as large as ten heartbeats. */
 const MAX_INTRODUCTIONS = 4;
-/** So many to who knows fewer entries, one more for each that it lacks. */
-const MAX_CATCHING_UP = 16;
+/**
+ * Limit for a peer that knows fewer entries; each missing one raises it by
+ * one.
+ */
+const MAX_CATCH_UP_INTRODUCTIONS = 16;
 const MAX_MARKS = 8;
 const MAX_LIMITS = 16;
 const MAX_SUSPICIONS = 8;
-/** The shortest time between two heartbeats, as a share of the interval. */
-const SHORTEST_PAUSE = 0.75;
-const PEERS_TOLD_AT_ONCE = 3;
-/** While an entry knows nobody, it tries this often. */
-const LONELY_INTERVAL: Millis = 200;
-/** An entry is told on for this long after it became known here. */
-const NEWS_LIFETIME: Millis = 15_000;
-/** Share of exchanges with listed entries that are not yet known. */
-const STRANGER_SHARE = 0.5;
+/** Minimum time between two heartbeats, as a share of the interval. */
+const MIN_INTERVAL_SHARE = 0.75;
+const NOTIFY_FANOUT = 3;
+/** Time between two attempts while an entry knows no peers. */
+const DISCOVERY_INTERVAL: Millis = 200;
+/** How long after its discovery the full record of an entry is passed on. */
+const INTRODUCTION_PERIOD: Millis = 15_000;
+/** Share of exchanges with seeds that have not been discovered yet. */
+const UNKNOWN_SEED_SHARE = 0.5;
 
-/** Starts to exchange peer state. */
+/** Starts the exchange loop. */
 export function startExchangeLoop(options: ExchangeLoopOptions): ExchangeLoop {
   const { clock, random, signal, membership } = options;
 
-  /** When each incarnation became known here. */
-  const introducedAt = new Map<string, Millis>();
+  /** When this entry discovered each incarnation. */
+  const discoveredAt = new Map<string, Millis>();
 
   function createMessage(
     introductions: readonly PeerRecord[],
@@ -119,49 +126,53 @@
   }
 
   /**
-   * Whom the partner may not know: this entry, those that are new here too, and
-   * any of the records if it knows fewer entries. Each that a partner knows
-   * already costs as much as ten heartbeats.
+   * Lists the entries that the peer may not know: this entry, those that were
+   * discovered recently, and any of the records if the peer knows fewer
+   * entries. One that it knows already is left out, as it costs as much as ten
+   * heartbeats.
    */
-  function listLacking(
+  function listMissing(
     { heartbeats, known }: PeerExchange,
     records: readonly PeerRecord[],
   ): PeerRecord[] {
-    const told = new Set(heartbeats.map(([incarnation]) => incarnation));
+    const reported = new Set(heartbeats.map(([incarnation]) => incarnation));
     const others = membership.list().map(({ record }) => record);
     const now = clock.now();
     const recent = others.filter(({ incarnation }) =>
-      now - (introducedAt.get(incarnation) ?? -Infinity) < NEWS_LIFETIME
+      now - (discoveredAt.get(incarnation) ?? -Infinity) < INTRODUCTION_PERIOD
     );
-    const lacked = Math.max(0, others.length - known);
-    const lacking = new Set([
+    const missingCount = Math.max(0, others.length - known);
+    const missing = new Set([
       membership.self,
       ...sampleItems(recent, { count: recent.length, random }),
-      ...(lacked > 0 ? records : []),
+      ...(missingCount > 0 ? records : []),
     ]);
-    return [...lacking]
-      .filter(({ incarnation }) => !told.has(incarnation))
-      .slice(0, Math.min(MAX_CATCHING_UP, MAX_INTRODUCTIONS + lacked));
+    return [...missing]
+      .filter(({ incarnation }) => !reported.has(incarnation))
+      .slice(
+        0,
+        Math.min(MAX_CATCH_UP_INTRODUCTIONS, MAX_INTRODUCTIONS + missingCount),
+      );
   }
 
-  function takeIntroductions(
+  function applyIntroductions(
     records: readonly PeerRecord[],
     known: ReadonlyMap<string, PeerRecord>,
   ): void {
     const now = clock.now();
-    for (const [incarnation, at] of introducedAt) {
-      if (now - at > NEWS_LIFETIME) introducedAt.delete(incarnation);
+    for (const [incarnation, at] of discoveredAt) {
+      if (now - at > INTRODUCTION_PERIOD) discoveredAt.delete(incarnation);
     }
     for (const record of membership.merge(records)) {
-      // A partner introduces itself each time: only the first is news to pass on.
+      // A peer sends its own record each time; only the first is a discovery.
       if (!known.has(record.incarnation)) {
-        introducedAt.set(record.incarnation, now);
+        discoveredAt.set(record.incarnation, now);
       }
       options.onIntroduced(record);
     }
   }
 
-  function takeMessage(message: PeerExchange): void {
+  function applyMessage(message: PeerExchange): void {
     options.onBytes("in", JSON.stringify(message).length);
     const known = new Map(
       membership.list().map(({ record }) => [record.incarnation, record]),
@@ -171,63 +182,71 @@
         const record = known.get(heartbeat.incarnation);
         return record === undefined ? [] : [{ ...record, ...heartbeat }];
       });
-    takeIntroductions(message.introductions, known);
+    applyIntroductions(message.introductions, known);
     membership.merge(updates).forEach(options.onHeartbeat);
     for (const [incarnation, heartbeat] of message.unreached ?? []) {
       membership.markSuspected({ incarnation, heartbeat });
     }
     message.leaving.forEach(options.markLeaving);
-    for (const news of message.limits ?? []) options.noteLimitNews?.(news);
+    for (const update of message.limits ?? []) options.noteLimitNews?.(update);
     if (message.poison !== undefined) options.notePoisonNews?.(message.poison);
   }
 
-  function answer(message: PeerExchange): PeerExchange {
-    takeMessage(message);
+  function handleMessage(message: PeerExchange): PeerExchange {
+    applyMessage(message);
     const records = membership.chooseRecords(MAX_RECORDS);
-    return createMessage(listLacking(message, records), records);
+    return createMessage(listMissing(message, records), records);
   }
 
   async function exchangeWith(address: string): Promise<void> {
-    // The own introduction always goes along; of the others only heartbeats,
-    // the partner fetches what it lacks when it is its turn.
+    // Only this entry's own full record is sent, and of the others heartbeats.
+    // The peer receives records that it lacks when it starts an exchange
+    // itself.
     const records = membership.chooseRecords(MAX_RECORDS);
     const message = createMessage(records.slice(0, 1), records);
     const reply = await options.exchange(address, message);
     if (reply.isErr) {
-      void checkPartner(address);
+      void checkPeer(address);
       return options.onUnanswered(address);
     }
-    takeMessage(reply.value);
+    applyMessage(reply.value);
     await options.onReply(reply.value, address);
   }
 
   /**
-   * One that is only short of processor still takes connections. A partner that
-   * does not has ended or is cut off, and callers are not sent there.
+   * A peer that is only short of processor time still accepts connections. One
+   * that does not has ended or is behind a network partition: it is
+   * suspected, so that callers are not sent there.
    */
-  async function checkPartner(address: string): Promise<void> {
-    const partner = membership.list()
+  async function checkPeer(address: string): Promise<void> {
+    const peer = membership.list()
       .find(({ record }) => record.controlAddress === address);
-    if (partner === undefined) return;
+    if (peer === undefined) return;
     const listening = await options.checkListening?.(address) ?? "listening";
     if (listening === "listening") return;
-    const { incarnation, heartbeat } = partner.record;
-    // Others may have heard of it later than this entry has.
-    const missed = Math.ceil(partner.age / (SHORTEST_PAUSE * options.interval));
-    membership.markSuspected({ incarnation, heartbeat: heartbeat + missed });
+    const { incarnation, heartbeat } = peer.record;
+    // Other entries may have received newer heartbeats of it than this one.
+    const missedHeartbeats = Math.ceil(
+      peer.age / (MIN_INTERVAL_SHARE * options.interval),
+    );
+    membership.markSuspected({
+      incarnation,
+      heartbeat: heartbeat + missedHeartbeats,
+    });
   }
 
   function chooseAddress(): string | undefined {
-    const partner = membership.choosePeer()?.controlAddress;
+    const peer = membership.choosePeer()?.controlAddress;
     const known = new Set(
       membership.list().map(({ record }) => record.controlAddress),
     );
-    const strangers = options.listSeeds().filter((address) =>
+    const unknownSeeds = options.listSeeds().filter((address) =>
       address !== membership.self.controlAddress && !known.has(address)
     );
-    const isStrangersTurn = partner === undefined || random() < STRANGER_SHARE;
-    if (!isStrangersTurn || strangers.length === 0) return partner;
-    return strangers[Math.floor(random() * strangers.length)];
+    const isSeedChosen = peer === undefined ||
+      random() < UNKNOWN_SEED_SHARE;
+    if (!isSeedChosen || unknownSeeds.length === 0) return peer;
+    return unknownSeeds[Math.floor(random() * unknownSeeds.length)];
   }
 
   async function run(): Promise<void> {
@@ -235,14 +254,15 @@
       options.beat();
       const address = chooseAddress();
       if (address !== undefined) await exchangeWith(address);
-      const isAlone = membership.list().length === 0;
-      const interval = isAlone ? LONELY_INTERVAL : options.interval;
-      const share = SHORTEST_PAUSE + random() * (1 - SHORTEST_PAUSE) * 2;
+      const hasNoPeers = membership.list().length === 0;
+      const interval = hasNoPeers ? DISCOVERY_INTERVAL : options.interval;
+      const share = MIN_INTERVAL_SHARE +
+        random() * (1 - MIN_INTERVAL_SHARE) * 2;
       await clock.sleep(interval * share, signal);
     }
   }
 
-  async function tellPeers(count = PEERS_TOLD_AT_ONCE): Promise<void> {
+  async function notifyPeers(count = NOTIFY_FANOUT): Promise<void> {
     membership.updateSelf({});
     const alive = membership.list()
       .filter(({ health }) => health === "alive");
@@ -253,5 +273,5 @@
     );
   }
 
-  return { answer, tellPeers, task: run() };
+  return { answer: handleMessage, tellPeers: notifyPeers, task: run() };
 }
--- a/packages/peers/src/peer_caller.ts
+++ b/packages/peers/src/peer_caller.ts
@@ -1,13 +1,13 @@
 /**
- * Calls procedures of peers by trpc over kept connections, each with a time
- * limit, a checked reply and a typed failure.
+ * Calls procedures of peers by tRPC over persistent connections, each with a
+ * timeout, a validated reply and a typed failure.
  *
  * @module
  */
 import type { Failure } from "@mangoreach/coordination";
 import { createFailure } from "@mangoreach/coordination";
-import type { Clock, KeptConnections, Millis } from "@mangoreach/shared";
-import { createKeptConnections } from "@mangoreach/shared";
+import type { Clock, Millis, PersistentConnections } from "@mangoreach/shared";
+import { createPersistentConnections } from "@mangoreach/shared";
 import type { TRPCClient } from "@trpc/client";
 import { createTRPCClient, TRPCClientError } from "@trpc/client";
 import type { AnyTRPCRouter } from "@trpc/server";
@@ -24,18 +24,18 @@
   connectTimeout: Millis;
 }
 
-/** One question to a peer. */
-export interface PeerQuestion<T> {
+/** One request to a peer. */
+export interface PeerRequest<T> {
   /** A control address, `ip:port`. */
   address: string;
-  /** Checks the reply. */
+  /** Validates the reply. */
   schema: z.ZodType<T>;
   timeout: Millis;
-  /** Gives the question up. */
+  /** Cancels the request. */
   signal?: AbortSignal;
 }
 
-/** What goes along with each call; for trpc's client. */
+/** Options of each call of the tRPC client. */
 export interface PeerCallOptions {
   signal: AbortSignal;
   context: { address: string };
@@ -43,8 +43,8 @@
 
 /** Calls the procedures of one router at any peer. */
 export interface PeerCaller<R extends AnyTRPCRouter> {
-  ask<T>(
-    question: PeerQuestion<T>,
+  request<T>(
+    target: PeerRequest<T>,
     send: (
       client: TRPCClient<R>,
       options: PeerCallOptions,
@@ -54,23 +54,24 @@
 }
 
 /**
- * Partners are drawn from all peers, so it takes most of a minute until one is
- * asked again; a new connection costs both sides more than the message does.
+ * Peers are chosen at random for exchanges, so most of a minute can pass
+ * between two requests to the same one. A new connection costs both sides more
+ * than the message does.
  */
 const KEEP_ALIVE: Millis = 60_000;
 
-/** Creates the caller of one process. */
+/** Creates the caller for one process. */
 export function createPeerCaller<R extends AnyTRPCRouter>(
   { clock, siteKey, connectTimeout }: PeerCallerOptions,
 ): PeerCaller<R> {
-  const kept = createKeptConnections({
+  const kept = createPersistentConnections({
     keepAlive: KEEP_ALIVE,
-    longestKeepAlive: KEEP_ALIVE,
+    maxKeepAlive: KEEP_ALIVE,
     connectTimeout,
   });
-  // In place of trpc's HTTP link, whose fetch and headers of the standard cost
-  // more than all the rest of a call. Whom to call stands in the call's context,
-  // so one client serves all peers.
+  // Replaces tRPC's HTTP link, whose use of the standard fetch and Headers
+  // costs more than the rest of a call. The address is in the context of each
+  // call, so one client serves all peers.
   const client = createTRPCClient<R>({
     links: [
       () => ({ op }) =>
@@ -83,8 +84,8 @@
     ],
   });
 
-  async function ask<T>(
-    { address, schema, timeout, signal }: PeerQuestion<T>,
+  async function request<T>(
+    { address, schema, timeout, signal }: PeerRequest<T>,
     send: (
       client: TRPCClient<R>,
       options: PeerCallOptions,
@@ -94,7 +95,7 @@
     const abort = () => controller.abort();
     const stopTimer = clock.startTimer(timeout, () => {
       abort();
-      kept.noteUnanswered(address);
+      kept.discard(address);
     });
     signal?.addEventListener("abort", abort, { once: true });
     if (signal?.aborted) abort();
@@ -113,21 +114,21 @@
     }
   }
 
-  return { ask, close: kept.close };
+  return { request, close: kept.close };
 }
 
 interface OutgoingCall {
-  /** Holds the address, as it was given with the call. */
+  /** Contains the address that was given with the call. */
   context: Record<string, unknown>;
   siteKey: string;
-  kept: KeptConnections;
+  kept: PersistentConnections;
   type: string;
   path: string;
   input: unknown;
   signal: AbortSignal | null | undefined;
 }
 
-/** Sends one call as trpc's HTTP link would, and returns its data. */
+/** Sends one call in the form of tRPC's HTTP link and returns its data. */
 async function sendCall(
   { context, siteKey, kept, type, path, input, signal }: OutgoingCall,
 ): Promise<unknown> {
@@ -136,7 +137,7 @@
   const query = isQuery && text !== undefined
     ? `?input=${encodeURIComponent(text)}`
     : "";
-  const { body } = await kept.find(String(context.address)).request({
+  const { body } = await kept.getPool(String(context.address)).request({
     path: `${PEER_PATH}${path}${query}`,
     method: isQuery ? "GET" : "POST",
     headers: {
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -1,5 +1,5 @@
 /**
- * The side of an entry that answers its peers.
+ * The server of the protocol between entries.
  *
  * @module
  */
@@ -15,14 +15,14 @@
   createRouterListener,
   peerProcedure,
 } from "./peer_procedure.ts";
-import { exchangeSchema, outcomeQuestionSchema } from "./peer_protocol.ts";
+import { exchangeSchema, outcomeQuerySchema } from "./peer_protocol.ts";
 
-/** What an entry does for its peers. */
+/** Handlers of the requests of peers. */
 export interface PeerHandlers {
   exchange(message: PeerExchange): PeerExchange;
   /** The configuration in force here; null before the first. */
   readConfig(): ActiveConfig | null;
-  answerOutcome(question: OutcomeQuestion): Promise<OutcomeReply>;
+  answerOutcome(query: OutcomeQuestion): Promise<OutcomeReply>;
 }
 
 function createPeerRouter(handlers: PeerHandlers) {
@@ -30,7 +30,7 @@
     exchange: peerProcedure.input(exchangeSchema)
       .mutation(({ input }) => handlers.exchange(input)),
     config: peerProcedure.query(() => handlers.readConfig()),
-    outcome: peerProcedure.input(outcomeQuestionSchema)
+    outcome: peerProcedure.input(outcomeQuerySchema)
       .mutation(({ input }) => handlers.answerOutcome(input)),
   });
 }
--- /dev/null
+++ b/packages/shared/src/persistent_connections.ts
@@ -0,0 +1,87 @@
+/**
+ * Persistent connections, which are reused for the next call to the same
+ * address.
+ *
+ * All connections to an address can stop responding at the same moment,
+ * without a reset. Only a call that times out shows this, and each further
+ * connection that is tried would cost another timeout. So one such call is
+ * enough to replace all connections to the address.
+ *
+ * @module
+ */
+import { Pool } from "undici";
+import type { Millis } from "./clock.ts";
+
+/** The persistent connections to one kind of server. */
+export interface PersistentConnections {
+  /** Gets the connection pool of an address; use it for one call only. */
+  getPool(address: string): Pool;
+  /** Discards the pool of an address after a call without an answer. */
+  discard(address: string): void;
+  close(): Promise<void>;
+}
+
+/** Options of {@linkcode createPersistentConnections}. */
+export interface PersistentConnectionsOptions {
+  /** How long an idle connection is kept if its server sends no timeout. */
+  keepAlive: Millis;
+  /**
+   * Upper bound of keep-alive times that servers send; undici's default if
+   * left out.
+   */
+  maxKeepAlive?: Millis;
+  connectTimeout: Millis;
+}
+
+/** Creates an empty set of connection pools. */
+export function createPersistentConnections(
+  { keepAlive, maxKeepAlive, connectTimeout }: PersistentConnectionsOptions,
+): PersistentConnections {
+  const pools = new Map<string, Pool>();
+
+  function getPool(address: string): Pool {
+    const present = pools.get(address);
+    if (present !== undefined) return present;
+    const pool = new Pool(`http://${address}`, {
+      pipelining: 1,
+      keepAliveTimeout: keepAlive,
+      ...(maxKeepAlive === undefined
+        ? {}
+        : { keepAliveMaxTimeout: maxKeepAlive }),
+      connectTimeout,
+      // Deadlines are enforced by abort signals, which also cover phases that
+      // undici's own timeouts do not.
+      headersTimeout: 0,
+      bodyTimeout: 0,
+    });
+    pool.on("disconnect", () => dropUnused(address, pool));
+    pools.set(address, pool);
+    return pool;
+  }
+
+  /** Drops unused pools: every start of an endpoint brings a new address. */
+  function dropUnused(address: string, pool: Pool): void {
+    const { connected, size } = pool.stats;
+    if (connected === 0 && size === 0) dropPool(address, pool);
+  }
+
+  /** Closes idle connections; calls in progress continue. */
+  function dropPool(address: string, pool: Pool): void {
+    if (pools.get(address) === pool) pools.delete(address);
+    // close() rejects only if the pool is already closed.
+    pool.close().catch(() => {});
+  }
+
+  return {
+    getPool,
+    discard(address) {
+      const pool = pools.get(address);
+      if (pool !== undefined) dropPool(address, pool);
+    },
+    async close() {
+      const all = [...pools.values()];
+      pools.clear();
+      await Promise.all(all.map((pool) => pool.destroy()));
+    },
+  };
+}
