--- a/packages/entry/src/endpoint_watch.ts
+++ b/packages/entry/src/endpoint_watch.ts
@@ -158,7 +158,7 @@
     interval: settings.timing.instanceListMs,
     signal,
     random,
-    onAway: ({ message }) => {
+    onUnavailable: ({ message }) => {
       if (!isListDown) logger.warn("Instance list unavailable.", { message });
       isListDown = true;
     },
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -268,7 +268,7 @@
       handlers: {
         exchange: exchange.answer,
         readConfig: () => config.active ?? null,
-        answerOutcome: guard.answer,
+        handleOutcomeQuery: guard.answer,
       },
       isPeer: credentials.isPeer,
     }),
--- a/packages/entry/src/once_guard.ts
+++ b/packages/entry/src/once_guard.ts
@@ -15,7 +15,7 @@
 import { createFailure } from "@mangoreach/coordination";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type {
-  OutcomeQuestion,
+  OutcomeQuery,
   OutcomeReply,
   StoredAnswer,
 } from "@mangoreach/peers";
@@ -47,7 +47,7 @@
  */
 export type QueryOwner = (
   incarnation: string,
-  query: OutcomeQuestion,
+  query: OutcomeQuery,
 ) => Promise<OutcomeReply | undefined>;
 
 /** The parts of the entry context that the guard uses. */
@@ -73,7 +73,7 @@
    * Answers a peer's query about a request that only this entry may run. If the
    * request has not run, running it here is forbidden from then on.
    */
-  answer(query: OutcomeQuestion): Promise<OutcomeReply>;
+  answer(query: OutcomeQuery): Promise<OutcomeReply>;
 }
 
 /** Bindings are also issued by other entries, whose clocks may be ahead. */
@@ -228,7 +228,7 @@
     return Result.err(failUnknown("owner"));
   }
 
-  async function answer(query: OutcomeQuestion): Promise<OutcomeReply> {
+  async function answer(query: OutcomeQuery): Promise<OutcomeReply> {
     const now = clock.now();
     // An expired id has no record any more. An id that expires too far in the
     // future, such as one from an entry with a wrong clock, cannot be forbidden for
--- a/packages/entry/src/peer_exchange.ts
+++ b/packages/entry/src/peer_exchange.ts
@@ -14,7 +14,7 @@
   PeerRecord,
 } from "@mangoreach/coordination";
 import type {
-  OutcomeQuestion,
+  OutcomeQuery,
   OutcomeReply,
   PeerClient,
   PeerExchange,
@@ -50,7 +50,7 @@
   /** Queries the entry with an incarnation; undefined if it is unreachable. */
   queryOwner(
     incarnation: string,
-    query: OutcomeQuestion,
+    query: OutcomeQuery,
   ): Promise<OutcomeReply | undefined>;
   readonly task: Promise<void>;
 }
@@ -89,11 +89,11 @@
 
   async function queryOwner(
     incarnation: string,
-    query: OutcomeQuestion,
+    query: OutcomeQuery,
   ): Promise<OutcomeReply | undefined> {
     const owner = findByIncarnation(membership, incarnation);
     if (owner === undefined) return undefined;
-    const reply = await peers.askOutcome(owner.controlAddress, query);
+    const reply = await peers.queryOutcome(owner.controlAddress, query);
     return reply.isOk ? reply.value : undefined;
   }
 
@@ -104,13 +104,13 @@
     membership,
     directory,
     interval: settings.timing.exchangeMs,
-    beat: updateSelf,
+    updateSelf,
     listSeeds: () => seeds,
     exchange: (address, message) => peers.exchange(address, message),
     markLeaving: options.markLeaving,
-    chooseLimitNews: options.limits.chooseUpdates,
-    noteLimitNews: options.limits.applyUpdate,
-    onIntroduced: ({ entry }) =>
+    chooseLimitUpdates: options.limits.chooseUpdates,
+    applyLimitUpdate: options.limits.applyUpdate,
+    onDiscovered: ({ entry }) =>
       timeline.record("peer_seen", { detail: entry }),
     onHeartbeat: ({ strainedPriority }) =>
       options.onStrainedPriority(strainedPriority),
@@ -125,7 +125,7 @@
     addSeeds(entries) {
       seeds = [...settings.peers, ...entries.map(({ address }) => address)];
     },
-    notifyPeers: () => loop.tellPeers(),
+    notifyPeers: () => loop.notifyPeers(),
     queryOwner,
     task: loop.task,
   };
--- a/packages/entry/src/stage_attempts.ts
+++ b/packages/entry/src/stage_attempts.ts
@@ -206,7 +206,7 @@
   { permit, number, startedAt }: RunningAttempt<T>,
   { options, value }: { options: StageAttemptsOptions<T>; value: T },
 ): StageSuccess<T> {
-  const { clock, run, poolName, retainsPermit: retainsPermit } = options;
+  const { clock, run, poolName, retainsPermit } = options;
   const duration = clock.now() - startedAt;
   run.recordVerdict("may_have_run");
   permit.recordLatency(duration);
--- a/packages/instance_list/src/instance_list_client.ts
+++ b/packages/instance_list/src/instance_list_client.ts
@@ -64,7 +64,7 @@
   interval: Millis;
   signal: AbortSignal;
   random: () => number;
-  onAway: (failure: Failure) => void;
+  onUnavailable: (failure: Failure) => void;
 }
 
 const OK = 200;
@@ -100,14 +100,14 @@
   }
 
   function follow(
-    { interval, signal, random, onAway }: FollowOptions,
+    { interval, signal, random, onUnavailable }: FollowOptions,
   ): Stream<InstanceSnapshot> {
     const subject = createSubject<InstanceSnapshot>();
     async function poll(): Promise<void> {
       let version = -1;
       while (!signal.aborted) {
         const snapshot = await read(version);
-        if (snapshot.isErr) onAway(snapshot.error);
+        if (snapshot.isErr) onUnavailable(snapshot.error);
         else if (snapshot.value !== undefined) {
           version = snapshot.value.version;
           subject.push(snapshot.value);
--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -17,7 +17,7 @@
 import type { Result } from "true-myth";
 import type { PeerExchange } from "./peer_protocol.ts";
 import { decodeHeartbeat, encodeHeartbeat } from "./peer_protocol.ts";
-import type { PoisonNews } from "./run_protocol.ts";
+import type { PoisonUpdate } from "./run_protocol.ts";
 
 /** Options of {@linkcode startExchangeLoop}. */
 export interface ExchangeLoopOptions {
@@ -30,7 +30,7 @@
   /** Mean time between two exchanges; the jitter is a quarter of it. */
   interval: Millis;
   /** Increments this entry's heartbeat and updates its own record. */
-  beat: () => void;
+  updateSelf: () => void;
   /** Control addresses of entries that may not have been discovered yet. */
   listSeeds: () => readonly string[];
   exchange: (
@@ -39,13 +39,13 @@
   ) => Promise<Result<PeerExchange, Failure>>;
   markLeaving: (mark: LeavingMark) => void;
   /** Chooses at most `count` updates of limits that endpoints reported. */
-  chooseLimitNews?: (count: number) => readonly LimitUpdate[];
-  noteLimitNews?: (update: LimitUpdate) => void;
+  chooseLimitUpdates?: (count: number) => readonly LimitUpdate[];
+  applyLimitUpdate?: (update: LimitUpdate) => void;
   /** The quarantined and suspected contents; undefined if there are none. */
-  readPoisonNews?: () => PoisonNews | undefined;
-  notePoisonNews?: (update: PoisonNews) => void;
+  readPoisonUpdate?: () => PoisonUpdate | undefined;
+  applyPoisonUpdate?: (update: PoisonUpdate) => void;
   /** Called for each newly discovered entry or incarnation. */
-  onIntroduced: (record: PeerRecord) => void;
+  onDiscovered: (record: PeerRecord) => void;
   /** Called for each newer heartbeat. */
   onHeartbeat: (record: PeerRecord) => void;
   /** Called for each reply, after its updates were applied. */
@@ -64,7 +64,7 @@
    * Exchanges with some peers at once, such as when this entry begins to
    * leave.
    */
-  tellPeers(count?: number): Promise<void>;
+  notifyPeers(count?: number): Promise<void>;
   readonly task: Promise<void>;
 }
 
@@ -106,12 +106,12 @@
     introductions: readonly PeerRecord[],
     records: readonly PeerRecord[],
   ): PeerExchange {
-    const poison = options.readPoisonNews?.();
+    const poison = options.readPoisonUpdate?.();
     const suspicions = membership.chooseSuspicions(MAX_SUSPICIONS);
     const unreached = suspicions.map(({ incarnation, heartbeat }) =>
       [incarnation, heartbeat] satisfies [string, number]
     );
-    const limits = options.chooseLimitNews?.(MAX_LIMITS) ?? [];
+    const limits = options.chooseLimitUpdates?.(MAX_LIMITS) ?? [];
     const message: PeerExchange = {
       heartbeats: records.map(encodeHeartbeat),
       introductions: [...introductions],
@@ -168,7 +168,7 @@
       if (!known.has(record.incarnation)) {
         discoveredAt.set(record.incarnation, now);
       }
-      options.onIntroduced(record);
+      options.onDiscovered(record);
     }
   }
 
@@ -188,8 +188,12 @@
       membership.markSuspected({ incarnation, heartbeat });
     }
     message.leaving.forEach(options.markLeaving);
-    for (const update of message.limits ?? []) options.noteLimitNews?.(update);
-    if (message.poison !== undefined) options.notePoisonNews?.(message.poison);
+    for (const update of message.limits ?? []) {
+      options.applyLimitUpdate?.(update);
+    }
+    if (message.poison !== undefined) {
+      options.applyPoisonUpdate?.(message.poison);
+    }
   }
 
   function handleMessage(message: PeerExchange): PeerExchange {
@@ -251,7 +255,7 @@
 
   async function run(): Promise<void> {
     while (!signal.aborted) {
-      options.beat();
+      options.updateSelf();
       const address = chooseAddress();
       if (address !== undefined) await exchangeWith(address);
       const hasNoPeers = membership.list().length === 0;
@@ -273,5 +277,5 @@
     );
   }
 
-  return { answer: handleMessage, tellPeers: notifyPeers, task: run() };
+  return { answer: handleMessage, notifyPeers, task: run() };
 }
--- a/packages/peers/src/exchange_loop_test.ts
+++ b/packages/peers/src/exchange_loop_test.ts
@@ -66,9 +66,9 @@
       random,
       signal: controller.signal,
       membership,
-      directory: { chooseMarks: () => [] },
+      directory: { chooseLeavingMarks: () => [] },
       interval: 500,
-      beat: () => membership.updateSelf({}),
+      updateSelf: () => membership.updateSelf({}),
       listSeeds: () =>
         records.slice(0, 3).map((record) => record.controlAddress),
       exchange: async (address, message) => {
@@ -85,7 +85,7 @@
         return Result.ok(peer.loop.answer(message));
       },
       markLeaving: () => {},
-      onIntroduced: () => {},
+      onDiscovered: () => {},
       onHeartbeat: () => {},
       onReply: () => Promise.resolve(),
       onUnanswered: () => {},
--- a/packages/peers/src/mod.ts
+++ b/packages/peers/src/mod.ts
@@ -5,7 +5,7 @@
  */
 export type {
   Heartbeat,
-  OutcomeQuestion,
+  OutcomeQuery,
   OutcomeReply,
   PeerExchange,
   StoredAnswer,
@@ -22,16 +22,16 @@
   PieceRun,
   PieceRunReply,
   PieceSource,
-  WaitsQuestion,
+  WaitsQuery,
 } from "./piece_protocol.ts";
 export { MAX_RELEASED } from "./piece_protocol.ts";
 export type {
-  EndpointEnd,
-  PoisonNews,
+  EndpointCrash,
+  PoisonUpdate,
   RunReport,
   RunReportReply,
 } from "./run_protocol.ts";
-export type { TopicName, TopicNews, TopicQuestion } from "./topic_protocol.ts";
+export type { TopicName, TopicReply, TopicRequest } from "./topic_protocol.ts";
 export type {
   ServingPeerClient,
   ServingPeerHandlers,
--- a/packages/peers/src/peer_client.ts
+++ b/packages/peers/src/peer_client.ts
@@ -10,7 +10,7 @@
 import type { Result } from "true-myth";
 import { createPeerCaller } from "./peer_caller.ts";
 import type {
-  OutcomeQuestion,
+  OutcomeQuery,
   OutcomeReply,
   PeerExchange,
 } from "./peer_protocol.ts";
@@ -33,9 +33,9 @@
   readConfig(
     address: string,
   ): Promise<Result<ActiveConfig | undefined, Failure>>;
-  askOutcome(
+  queryOutcome(
     address: string,
-    query: OutcomeQuestion,
+    query: OutcomeQuery,
   ): Promise<Result<OutcomeReply, Failure>>;
   close(): Promise<void>;
 }
@@ -68,7 +68,7 @@
       );
       return reply.map((config) => config ?? undefined);
     },
-    askOutcome: (address, query) =>
+    queryOutcome: (address, query) =>
       request(
         {
           address,
--- a/packages/peers/src/peer_contract_test.ts
+++ b/packages/peers/src/peer_contract_test.ts
@@ -32,7 +32,7 @@
         handlers: {
           exchange: (message) => message,
           readConfig: () => null,
-          answerOutcome: () => Promise.resolve({ kind: "forbidden" }),
+          handleOutcomeQuery: () => Promise.resolve({ kind: "forbidden" }),
         },
       }),
       {
@@ -63,7 +63,7 @@
     expect(exchanged.isOk && exchanged.value).to.deep.equal(MESSAGE);
     const config = await peers.readConfig(address);
     expect(config.isOk && config.value).to.equal(undefined);
-    const outcome = await peers.askOutcome(address, OUTCOME_QUERY);
+    const outcome = await peers.queryOutcome(address, OUTCOME_QUERY);
     expect(outcome.isOk && outcome.value.kind).to.equal("forbidden");
   });
 
@@ -79,7 +79,7 @@
 
   it("times out when a peer does not answer", async () => {
     const silent = await startScriptedServer({ kind: "silence" });
-    const reply = await peers.askOutcome(silent.address, OUTCOME_QUERY);
+    const reply = await peers.queryOutcome(silent.address, OUTCOME_QUERY);
     expect(reply.isErr && reply.error.verdict).to.equal("may_have_run");
     await silent.stop();
   });
@@ -88,7 +88,7 @@
     it(`turns ${name} into a typed error`, async () => {
       const bad = await startScriptedServer(reply);
       expect((await peers.exchange(bad.address, MESSAGE)).isErr).to.equal(true);
-      expect((await peers.askOutcome(bad.address, OUTCOME_QUERY)).isErr)
+      expect((await peers.queryOutcome(bad.address, OUTCOME_QUERY)).isErr)
         .to.equal(true);
       await bad.stop();
     });
--- a/packages/peers/src/peer_protocol.ts
+++ b/packages/peers/src/peer_protocol.ts
@@ -118,7 +118,7 @@
 });
 
 /** Queries the outcome of a non-idempotent request. */
-export type OutcomeQuestion = z.infer<typeof outcomeQuerySchema>;
+export type OutcomeQuery = z.infer<typeof outcomeQuerySchema>;
 
 /** An answer as it was sent to the caller, stored for repeated requests. */
 export const storedAnswerSchema = z.object({
--- a/packages/peers/src/peer_server.ts
+++ b/packages/peers/src/peer_server.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, RequestListener } from "node:http";
 import type { ActiveConfig } from "@mangoreach/operators";
 import type {
-  OutcomeQuestion,
+  OutcomeQuery,
   OutcomeReply,
   PeerExchange,
 } from "./peer_protocol.ts";
@@ -22,7 +22,7 @@
   exchange(message: PeerExchange): PeerExchange;
   /** The configuration in force here; null before the first. */
   readConfig(): ActiveConfig | null;
-  answerOutcome(query: OutcomeQuestion): Promise<OutcomeReply>;
+  handleOutcomeQuery(query: OutcomeQuery): Promise<OutcomeReply>;
 }
 
 function createPeerRouter(handlers: PeerHandlers) {
@@ -31,7 +31,7 @@
       .mutation(({ input }) => handlers.exchange(input)),
     config: peerProcedure.query(() => handlers.readConfig()),
     outcome: peerProcedure.input(outcomeQuerySchema)
-      .mutation(({ input }) => handlers.answerOutcome(input)),
+      .mutation(({ input }) => handlers.handleOutcomeQuery(input)),
   });
 }
 
--- a/packages/peers/src/piece_protocol.ts
+++ b/packages/peers/src/piece_protocol.ts
@@ -85,7 +85,7 @@
 });
 
 /** Queries the expected waits of new pieces. */
-export type WaitsQuestion = z.infer<typeof waitsQuerySchema>;
+export type WaitsQuery = z.infer<typeof waitsQuerySchema>;
 
 /** Expected waits of new pieces of one priority, in milliseconds. */
 export const pieceWaitsSchema = z.object({
--- a/packages/peers/src/run_protocol.ts
+++ b/packages/peers/src/run_protocol.ts
@@ -19,7 +19,7 @@
 });
 
 /** An endpoint that crashed during a run. */
-export type EndpointEnd = z.infer<typeof endpointCrashSchema>;
+export type EndpointCrash = z.infer<typeof endpointCrashSchema>;
 
 /** A request whose endpoint crashed while it ran. */
 const crashedRunSchema = endpointCrashSchema.extend({
@@ -67,4 +67,4 @@
 });
 
 /** Quarantined and suspected contents, exchanged by gossip. */
-export type PoisonNews = z.infer<typeof poisonUpdateSchema>;
+export type PoisonUpdate = z.infer<typeof poisonUpdateSchema>;
--- a/packages/peers/src/serving_peers.ts
+++ b/packages/peers/src/serving_peers.ts
@@ -21,7 +21,7 @@
   PieceRun,
   PieceRunReply,
   ResultRelease,
-  WaitsQuestion,
+  WaitsQuery,
 } from "./piece_protocol.ts";
 import {
   pieceRunReplySchema,
@@ -32,7 +32,7 @@
 } from "./piece_protocol.ts";
 import type { RunReport, RunReportReply } from "./run_protocol.ts";
 import { runReportReplySchema, runReportSchema } from "./run_protocol.ts";
-import type { TopicNews, TopicQuestion } from "./topic_protocol.ts";
+import type { TopicReply, TopicRequest } from "./topic_protocol.ts";
 import { topicRepliesSchema, topicRequestsSchema } from "./topic_protocol.ts";
 
 /** Handlers of the requests of peers. */
@@ -40,7 +40,7 @@
   exchange(message: PeerExchange): PeerExchange;
   /** Runs pieces here; the signal aborts when the peer cancels them. */
   runPieces(run: PieceRun, signal: AbortSignal): Promise<PieceRunReply>;
-  readWaits(query: WaitsQuestion): PieceWaits;
+  readWaits(query: WaitsQuery): PieceWaits;
   releaseResults(release: ResultRelease): void;
   /** Counts runs of the contents that this entry is an aggregator for. */
   reportRuns(report: RunReport): RunReportReply;
@@ -52,7 +52,7 @@
   /**
    * Replies with what this entry has read from the store, in the same order.
    */
-  readTopics(requests: readonly TopicQuestion[]): Promise<TopicNews[]>;
+  readTopics(requests: readonly TopicRequest[]): Promise<TopicReply[]>;
 }
 
 function createServingRouter(handlers: ServingPeerHandlers) {
@@ -106,7 +106,7 @@
   ): Promise<Result<PieceRunReply, Failure>>;
   readWaits(
     address: string,
-    query: WaitsQuestion,
+    query: WaitsQuery,
   ): Promise<Result<PieceWaits, Failure>>;
   releaseResults(
     address: string,
@@ -127,8 +127,8 @@
    */
   readTopics(
     address: string,
-    requests: readonly TopicQuestion[],
-  ): Promise<Result<TopicNews[], Failure>>;
+    requests: readonly TopicRequest[],
+  ): Promise<Result<TopicReply[], Failure>>;
   close(): Promise<void>;
 }
 
@@ -215,7 +215,7 @@
 }
 
 /** The first topic request that is answered completes the whole call. */
-function computeMinWait(requests: readonly TopicQuestion[]): Millis {
+function computeMinWait(requests: readonly TopicRequest[]): Millis {
   return Math.min(
     ...requests.map(({ wait, confirmWait }) => wait + confirmWait),
   );
--- a/packages/peers/src/topic_protocol.ts
+++ b/packages/peers/src/topic_protocol.ts
@@ -40,7 +40,7 @@
 });
 
 /** Requests the records from a position on. */
-export type TopicQuestion = z.infer<typeof topicRequestSchema>;
+export type TopicRequest = z.infer<typeof topicRequestSchema>;
 
 /** At most one request for each topic. */
 const MAX_REQUESTS = topicNameSchema.options.length;
@@ -85,4 +85,4 @@
 export const topicRepliesSchema = z.array(topicReplySchema);
 
 /** What the replying entry has read of the topic. */
-export type TopicNews = z.infer<typeof topicReplySchema>;
+export type TopicReply = z.infer<typeof topicReplySchema>;
--- a/packages/serving/src/crash_detector.ts
+++ b/packages/serving/src/crash_detector.ts
@@ -14,7 +14,7 @@
   createFailure,
   formatEndpointKey,
 } from "@mangoreach/coordination";
-import type { EndpointEnd } from "@mangoreach/peers";
+import type { EndpointCrash } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { DecisionLog } from "./decision_log.ts";
 import type { EndpointCheck } from "./endpoint_check.ts";
@@ -41,7 +41,7 @@
   /** Records crashes of stage endpoints that their dispatcher found. */
   recordStageCrashes(
     tracked: TrackedRequest,
-    ends: readonly EndpointEnd[],
+    ends: readonly EndpointCrash[],
   ): void;
   recordCompletion(tracked: TrackedRequest): void;
   /** Returns the refusal of a quarantined request; undefined if it may run. */
@@ -105,7 +105,7 @@
 
   function recordStageCrashes(
     tracked: TrackedRequest,
-    ends: readonly EndpointEnd[],
+    ends: readonly EndpointCrash[],
   ): void {
     const content = computeDigest(tracked);
     ends.forEach((end) => gossip.recordCrash({ content, ...end }));
--- a/packages/serving/src/peer_gossip.ts
+++ b/packages/serving/src/peer_gossip.ts
@@ -168,7 +168,7 @@
       membership,
       directory: options.directory,
       interval: EXCHANGE_INTERVAL,
-      beat: () => {
+      updateSelf: () => {
         const views = membership.list();
         metrics.setKnown("peers", views.length);
         options.recordPeerVersion(readNewestVersion(views));
@@ -190,11 +190,11 @@
           });
         }
       },
-      chooseLimitNews: options.limits.chooseUpdates,
-      noteLimitNews: options.limits.applyUpdate,
-      readPoisonNews: options.quarantine.readUpdate,
-      notePoisonNews: options.quarantine.applyUpdate,
-      onIntroduced: recordPeer,
+      chooseLimitUpdates: options.limits.chooseUpdates,
+      applyLimitUpdate: options.limits.applyUpdate,
+      readPoisonUpdate: options.quarantine.readUpdate,
+      applyPoisonUpdate: options.quarantine.applyUpdate,
+      onDiscovered: recordPeer,
       onHeartbeat: recordPeer,
       onReply: () => Promise.resolve(),
       onUnanswered: () => metrics.countUnanswered(),
--- a/packages/serving/src/peer_reader.ts
+++ b/packages/serving/src/peer_reader.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { TopicName, TopicNews, TopicQuestion } from "@mangoreach/peers";
+import type { TopicName, TopicReply, TopicRequest } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import { createFallbackPeers } from "./fallback_peers.ts";
 import { createPeerBackoff } from "./peer_backoff.ts";
@@ -23,8 +23,8 @@
   /** Resolves to undefined if the entry does not answer. */
   request: (
     address: string,
-    query: TopicQuestion,
-  ) => Promise<TopicNews | undefined>;
+    query: TopicRequest,
+  ) => Promise<TopicReply | undefined>;
   timing: Pick<TopicTiming, "confirmWait" | "maxAge">;
   reads: Pick<ReadTracker, "begin">;
 }
@@ -125,7 +125,7 @@
   /** Resolves to undefined if the peer's reply is not usable. */
   async function requestFromPeer(
     address: string,
-    query: Omit<TopicQuestion, "topic">,
+    query: Omit<TopicRequest, "topic">,
   ): Promise<PeerReadResult | undefined> {
     const requestedAt = clock.now();
     const end = reads.begin("peer", address);
--- a/packages/serving/src/piece_router.ts
+++ b/packages/serving/src/piece_router.ts
@@ -28,7 +28,7 @@
   PieceRun,
   PieceRunReply,
   ServingPeerClient,
-  WaitsQuestion,
+  WaitsQuery,
 } from "@mangoreach/peers";
 import { MAX_RELEASED } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
@@ -149,7 +149,7 @@
   }
 
   async function fetchWaits(
-    query: WaitsQuestion,
+    query: WaitsQuery,
   ): Promise<PieceWaits | undefined> {
     const { pool, partition, priority } = query;
     const address = listDispatchers(query)[0];
--- a/packages/serving/src/pool_wait_cache.ts
+++ b/packages/serving/src/pool_wait_cache.ts
@@ -9,23 +9,23 @@
  * @module
  */
 import type { PieceWaits } from "@mangoreach/coordination";
-import type { WaitsQuestion } from "@mangoreach/peers";
+import type { WaitsQuery } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 
 /** Options of {@linkcode createPoolWaitCache}. */
 export interface PoolWaitCacheOptions {
   clock: Clock;
   /** Queries the dispatcher; undefined if it does not reply. */
-  fetchWaits: (query: WaitsQuestion) => Promise<PieceWaits | undefined>;
+  fetchWaits: (query: WaitsQuery) => Promise<PieceWaits | undefined>;
 }
 
 /** Queueing delays by pool, partition and priority. */
 export interface PoolWaitCache {
-  record(query: WaitsQuestion, waits: PieceWaits): void;
+  record(query: WaitsQuery, waits: PieceWaits): void;
   /** Returns fresh waits, from the cache or the dispatcher. */
-  read(query: WaitsQuestion): Promise<PieceWaits>;
+  read(query: WaitsQuery): Promise<PieceWaits>;
   /** Returns cached waits that are not too stale, without a query. */
-  peek(query: WaitsQuestion): PieceWaits | undefined;
+  peek(query: WaitsQuery): PieceWaits | undefined;
 }
 
 /** TTL for an idle pool; a queue of one second takes longer to build up. */
@@ -52,7 +52,7 @@
   const cache = new Map<string, CachedWaits>();
   const pending = new Map<string, Promise<PieceWaits>>();
 
-  function record(query: WaitsQuestion, waits: PieceWaits): void {
+  function record(query: WaitsQuery, waits: PieceWaits): void {
     cache.set(formatKey(query), { waits, at: clock.now() });
   }
 
@@ -65,7 +65,7 @@
     return clock.now() - at <= maxAge ? waits : undefined;
   }
 
-  async function refresh(query: WaitsQuestion): Promise<PieceWaits> {
+  async function refresh(query: WaitsQuery): Promise<PieceWaits> {
     const waits = await fetchWaits(query);
     const key = formatKey(query);
     pending.delete(key);
@@ -76,7 +76,7 @@
     return waits;
   }
 
-  function read(query: WaitsQuestion): Promise<PieceWaits> {
+  function read(query: WaitsQuery): Promise<PieceWaits> {
     const key = formatKey(query);
     const fresh = findFresh(key);
     if (fresh !== undefined) return Promise.resolve(fresh);
@@ -92,6 +92,6 @@
   };
 }
 
-function formatKey({ pool, partition, priority }: WaitsQuestion): string {
+function formatKey({ pool, partition, priority }: WaitsQuery): string {
   return `${pool}/${partition}/${priority}`;
 }
--- a/packages/serving/src/quarantine_gossip.ts
+++ b/packages/serving/src/quarantine_gossip.ts
@@ -18,7 +18,11 @@
   QuarantinedContent,
 } from "@mangoreach/coordination";
 import { listByRendezvous } from "@mangoreach/coordination";
-import type { PoisonNews, RunReport, RunReportReply } from "@mangoreach/peers";
+import type {
+  PoisonUpdate,
+  RunReport,
+  RunReportReply,
+} from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
@@ -52,8 +56,8 @@
   /** Applies records of the store; records about something else are ignored. */
   applyRecords(records: readonly TopicRecord[]): void;
   /** Returns the update to gossip; undefined if there is nothing to send. */
-  readUpdate(): PoisonNews | undefined;
-  applyUpdate(news: PoisonNews): void;
+  readUpdate(): PoisonUpdate | undefined;
+  applyUpdate(news: PoisonUpdate): void;
   /** Writes the records again that a restored store may lack. */
   republish(): void;
   /** Releases contents whose quarantine expired; ends with the signal. */
@@ -234,7 +238,7 @@
     }
   }
 
-  function readUpdate(): PoisonNews | undefined {
+  function readUpdate(): PoisonUpdate | undefined {
     if (quarantine.isEmpty()) return undefined;
     const quarantined = quarantine.chooseQuarantined(MAX_UPDATE_CONTENTS);
     const suspected = quarantine.chooseSuspected(MAX_UPDATE_CONTENTS);
@@ -242,7 +246,7 @@
     return isEmpty ? undefined : { quarantined, suspected };
   }
 
-  function applyUpdate({ quarantined, suspected }: PoisonNews): void {
+  function applyUpdate({ quarantined, suspected }: PoisonUpdate): void {
     quarantined.forEach((found) => mergeQuarantined(found, "peer"));
     suspected.forEach(quarantine.recordSuspected);
   }
--- a/packages/serving/src/relayed_source_test.ts
+++ b/packages/serving/src/relayed_source_test.ts
@@ -2,20 +2,20 @@
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
-import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
+import type { TopicReply, TopicRequest } from "@mangoreach/peers";
 import type { TopicReadResult } from "./platform_interfaces.ts";
 import { createRelayedSource } from "./relayed_source.ts";
 import { createReadTracker } from "./read_tracker.ts";
 import { createPosition } from "./test_support.ts";
 
-const REPLY: TopicNews = {
+const REPLY: TopicReply = {
   kind: "records",
   records: [{ key: "a", value: "1", offset: 5 }],
   next: createPosition(6),
   age: 300,
 };
 
-type Answers = Record<string, TopicNews | undefined>;
+type Answers = Record<string, TopicReply | undefined>;
 
 describe("relayed topic source", () => {
   function create(
@@ -40,7 +40,7 @@
     /** The waits of the store reads. */
     const waits: Millis[] = [];
     const asked: string[] = [];
-    const queries: TopicQuestion[] = [];
+    const queries: TopicRequest[] = [];
     const source = createRelayedSource({
       clock,
       random: () => 0.5,
@@ -115,7 +115,7 @@
 
   // The reader is frozen, has lost the store, or has just become a reader. A
   // key that is revoked meanwhile must not be accepted here.
-  const UNUSABLE: { name: string; answer: TopicNews | undefined }[] = [
+  const UNUSABLE: { name: string; answer: TopicReply | undefined }[] = [
     { name: "does not answer", answer: undefined },
     { name: "does not have the offset", answer: { kind: "unknown" } },
     { name: "has lost the store itself", answer: { ...REPLY, age: 1_100 } },
--- a/packages/serving/src/serving_entry.ts
+++ b/packages/serving/src/serving_entry.ts
@@ -418,7 +418,7 @@
     phase = "leaving";
     log.record("process_stopping", { inProgress: tasks.size });
     membership.updateSelf({ state: "leaving" });
-    void exchange.tellPeers(MAX_NOTIFIED_PEERS);
+    void exchange.notifyPeers(MAX_NOTIFIED_PEERS);
     void platform.members.remove(membership.self);
     await clock.sleep(LEAVE_DELAY);
     phase = "refusing";
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -19,7 +19,7 @@
 } from "@mangoreach/coordination";
 import { createPieceBatcher, createPieceRates } from "@mangoreach/coordination";
 import type {
-  EndpointEnd,
+  EndpointCrash,
   PieceOrder,
   PieceOutcome,
   PieceRun,
@@ -146,7 +146,7 @@
     });
   }
 
-  function listCrashes({ ends }: DispatchedGroup): EndpointEnd[] {
+  function listCrashes({ ends }: DispatchedGroup): EndpointCrash[] {
     const now = clock.now();
     return ends.map(({ endpointKey, sentAt, endedAt }) => ({
       endpointKey,
--- a/packages/serving/src/stage_graph.ts
+++ b/packages/serving/src/stage_graph.ts
@@ -11,7 +11,11 @@
   planStages,
   spreadRetryAfter,
 } from "@mangoreach/coordination";
-import type { EndpointEnd, PieceOutcome, PieceSource } from "@mangoreach/peers";
+import type {
+  EndpointCrash,
+  PieceOutcome,
+  PieceSource,
+} from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import { Result } from "true-myth";
 import type { DecisionLog } from "./decision_log.ts";
@@ -41,7 +45,7 @@
   /** Place from which the results of the last stages will be fetched. */
   place: string | undefined;
   /** Called with the endpoints that terminated during calls for the request. */
-  recordCrashes: (ends: readonly EndpointEnd[]) => void;
+  recordCrashes: (ends: readonly EndpointCrash[]) => void;
   signal: AbortSignal;
 }
 
--- a/packages/serving/src/stage_graph_test.ts
+++ b/packages/serving/src/stage_graph_test.ts
@@ -1,4 +1,4 @@
-import type { EndpointEnd, PieceRunReply } from "@mangoreach/peers";
+import type { EndpointCrash, PieceRunReply } from "@mangoreach/peers";
 import { createFakeClock, settlePromises } from "@mangoreach/shared";
 import { expect } from "chai";
 import { Result } from "true-myth";
@@ -24,10 +24,10 @@
   ) {
     const runs: (PieceWork & { end: (reply: PieceRunReply) => void })[] = [];
     const released: string[] = [];
-    const reportedEnds: EndpointEnd[] = [];
+    const reportedEnds: EndpointCrash[] = [];
     const stage = (number: number) =>
       runs.find(({ pieces }) => pieces[0]?.stage === number);
-    const finish = async (number: number, ends?: EndpointEnd[]) => {
+    const finish = async (number: number, ends?: EndpointCrash[]) => {
       const run = stage(number);
       run?.end({
         outcomes: run.pieces.map(({ piece }) => ({
--- a/packages/serving/src/topic_relay.ts
+++ b/packages/serving/src/topic_relay.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type { DataAge, DataTimestamp } from "@mangoreach/coordination";
-import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
+import type { TopicReply, TopicRequest } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { RelayedSource } from "./relayed_source.ts";
 import type {
@@ -46,9 +46,9 @@
    * says, or until the signal aborts.
    */
   answer(
-    query: TopicQuestion,
+    query: TopicRequest,
     signal?: AbortSignal,
-  ): Promise<TopicNews>;
+  ): Promise<TopicReply>;
 }
 
 interface WaitingRequest {
@@ -207,7 +207,7 @@
     return result;
   }
 
-  function createReply(from: TopicPosition, arrivedAt: Millis): TopicNews {
+  function createReply(from: TopicPosition, arrivedAt: Millis): TopicReply {
     if (!mayRelay()) return { kind: "unknown" };
     if (next === undefined || isAhead(from, next)) return { kind: "unknown" };
     const known = { next, age: age.read() - (clock.now() - arrivedAt) };
@@ -221,7 +221,7 @@
   }
 
   function waitForUpdate(
-    { from, wait, confirmWait }: TopicQuestion,
+    { from, wait, confirmWait }: TopicRequest,
     signal: AbortSignal | undefined,
   ): Promise<void> {
     return new Promise((resolve) => {
@@ -239,9 +239,9 @@
   }
 
   async function answer(
-    query: TopicQuestion,
+    query: TopicRequest,
     signal?: AbortSignal,
-  ): Promise<TopicNews> {
+  ): Promise<TopicReply> {
     const { from, wait } = query;
     const arrivedAt = clock.now();
     const reply = createReply(from, arrivedAt);
--- a/packages/serving/src/topic_request_batcher.ts
+++ b/packages/serving/src/topic_request_batcher.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { TopicName, TopicNews, TopicQuestion } from "@mangoreach/peers";
+import type { TopicName, TopicReply, TopicRequest } from "@mangoreach/peers";
 import type { Clock, Millis } from "@mangoreach/shared";
 import type { TopicRelay } from "./topic_relay.ts";
 
@@ -20,8 +20,8 @@
    */
   send: (
     address: string,
-    queries: readonly TopicQuestion[],
-  ) => Promise<readonly TopicNews[] | undefined>;
+    queries: readonly TopicRequest[],
+  ) => Promise<readonly TopicReply[] | undefined>;
 }
 
 /** Sends topic requests to other entries. */
@@ -29,16 +29,16 @@
   /** Resolves to undefined if the entry does not answer. */
   request(
     address: string,
-    query: TopicQuestion,
-  ): Promise<TopicNews | undefined>;
+    query: TopicRequest,
+  ): Promise<TopicReply | undefined>;
 }
 
 /** Followers that got their replies together ask again within this time. */
 const BATCH_WINDOW: Millis = 30;
 
 interface PendingRequest {
-  query: TopicQuestion;
-  resolve: (reply: TopicNews | undefined) => void;
+  query: TopicRequest;
+  resolve: (reply: TopicReply | undefined) => void;
 }
 
 /** Creates the request batcher of one entry. */
@@ -56,8 +56,8 @@
 
   function enqueueRequest(
     address: string,
-    query: TopicQuestion,
-  ): Promise<TopicNews | undefined> {
+    query: TopicRequest,
+  ): Promise<TopicReply | undefined> {
     return new Promise((resolve) => {
       const pending = batches.get(address);
       if (pending !== undefined) {
@@ -71,8 +71,8 @@
 
   async function request(
     address: string,
-    query: TopicQuestion,
-  ): Promise<TopicNews | undefined> {
+    query: TopicRequest,
+  ): Promise<TopicReply | undefined> {
     // A request without a wait is a retry that has lost time already.
     if (query.wait > 0) return await enqueueRequest(address, query);
     return (await send(address, [query]))?.[0];
@@ -84,8 +84,8 @@
 /** Answers all queries as soon as the first of them is answered. */
 export async function handleTopicRequests(
   relays: Readonly<Record<TopicName, Pick<TopicRelay, "answer">>>,
-  queries: readonly TopicQuestion[],
-): Promise<TopicNews[]> {
+  queries: readonly TopicRequest[],
+): Promise<TopicReply[]> {
   const controller = new AbortController();
   const answers = queries.map((query) =>
     relays[query.topic].answer(query, controller.signal)
--- a/packages/serving/src/topic_request_batcher_test.ts
+++ b/packages/serving/src/topic_request_batcher_test.ts
@@ -1,4 +1,4 @@
-import type { TopicNews, TopicQuestion } from "@mangoreach/peers";
+import type { TopicReply, TopicRequest } from "@mangoreach/peers";
 import type { Millis } from "@mangoreach/shared";
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
@@ -8,7 +8,7 @@
   handleTopicRequests,
 } from "./topic_request_batcher.ts";
 
-const REPLY: TopicNews = {
+const REPLY: TopicReply = {
   kind: "records",
   records: [],
   next: createPosition(1),
@@ -16,14 +16,14 @@
 };
 
 function createRequest(
-  topic: TopicQuestion["topic"],
+  topic: TopicRequest["topic"],
   wait: Millis,
-): TopicQuestion {
+): TopicRequest {
   return { topic, from: createPosition(1), wait, confirmWait: 0 };
 }
 
 describe("topic request batcher", () => {
-  function create(answer?: readonly TopicNews[]) {
+  function create(answer?: readonly TopicReply[]) {
     const clock = createFakeClock(0);
     const sent: string[] = [];
     const batcher = createTopicRequestBatcher({
@@ -66,7 +66,7 @@
     const clock = createFakeClock(0);
     const waits = { config: 500, endpoints: 200, members: 3_000 };
     const createRelay = (wait: Millis) => ({
-      answer: async (_: TopicQuestion, signal?: AbortSignal) => {
+      answer: async (_: TopicRequest, signal?: AbortSignal) => {
         await clock.sleep(wait, signal);
         return REPLY;
       },
--- a/packages/serving/src/topic_tree_replay_test.ts
+++ b/packages/serving/src/topic_tree_replay_test.ts
@@ -6,7 +6,7 @@
  */
 import type { Membership, PeerRecord } from "@mangoreach/coordination";
 import { createDataAge, createMembership } from "@mangoreach/coordination";
-import type { TopicName, TopicNews, TopicQuestion } from "@mangoreach/peers";
+import type { TopicName, TopicReply, TopicRequest } from "@mangoreach/peers";
 import type { FakeClock, Millis } from "@mangoreach/shared";
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
@@ -173,12 +173,12 @@
 
   async function requestFromPeer(
     address: string,
-    query: TopicQuestion,
-  ): Promise<TopicNews | undefined> {
+    query: TopicRequest,
+  ): Promise<TopicReply | undefined> {
     const limit = query.wait + query.confirmWait + PEER_SLACK;
     const timeout = clock.sleep(limit).then(() => undefined);
     const index = Number(address);
-    async function answer(): Promise<TopicNews | undefined> {
+    async function answer(): Promise<TopicReply | undefined> {
       await clock.sleep(PEER_DELAY);
       const reply = await entries[index]?.relay.answer(query);
       await clock.sleep(PEER_DELAY);
