--- a/packages/entry/src/once_guard_test.ts
+++ b/packages/entry/src/at_most_once_guard_test.ts
@@ -10,8 +10,8 @@
 import type { FakeClock } from "@mangoreach/shared";
 import { createFakeClock } from "@mangoreach/shared";
 import { expect } from "chai";
-import type { GuardedRequest } from "./once_guard.ts";
-import { createAtMostOnceGuard } from "./once_guard.ts";
+import type { GuardedRequest } from "./at_most_once_guard.ts";
+import { createAtMostOnceGuard } from "./at_most_once_guard.ts";
 
 const NOW = 1_800_000_000_000;
 const ANSWER: StoredAnswer = {
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -45,7 +45,7 @@
 import { createEntryMetrics } from "./entry_metrics.ts";
 import type { EntrySettings } from "./entry_settings.ts";
 import { startLeaseManager } from "./lease_manager.ts";
-import { createAtMostOnceGuard } from "./once_guard.ts";
+import { createAtMostOnceGuard } from "./at_most_once_guard.ts";
 import { runPlacementController } from "./placement_controller.ts";
 import { startPeerExchange } from "./peer_exchange.ts";
 import { createPipelineRunner } from "./pipeline_runner.ts";
--- a/packages/entry/src/request_handler.ts
+++ b/packages/entry/src/request_handler.ts
@@ -29,7 +29,7 @@
 import { createFailureAnswer, sendAnswer } from "./caller_answer.ts";
 import type { CredentialsCheck } from "./credentials_check.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { AtMostOnceGuard } from "./once_guard.ts";
+import type { AtMostOnceGuard } from "./at_most_once_guard.ts";
 import type { PipelineRunner } from "./pipeline_runner.ts";
 import type { PoolSet } from "./pool_set.ts";
 import {
