--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -188,9 +188,7 @@
       membership.markSuspected({ incarnation, heartbeat });
     }
     message.leaving.forEach(options.markLeaving);
-    for (const update of message.limits ?? []) {
-      options.applyLimitUpdate?.(update);
-    }
+    for (const limit of message.limits ?? []) options.applyLimitUpdate?.(limit);
     if (message.poison !== undefined) {
       options.applyPoisonUpdate?.(message.poison);
     }
