--- a/standins/src/derive.ts
+++ b/standins/src/derive.ts
@@ -1,6 +1,6 @@
 /**
- * What the stand-ins answer. Every output is derived from its input, so that an
- * answer that is mixed up, cut or doubled shows.
+ * Outputs of the stand-ins. Every output is derived from its input, so that
+ * tests detect misrouted, truncated and duplicate responses.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 
 const DIGEST_LENGTH = 12;
 
-/** A short digest of any JSON value. */
+/** Computes a short digest of a JSON value. */
 export function computeDigest(value: unknown): string {
   return createHash("sha256").update(JSON.stringify(value)).digest("hex")
     .slice(0, DIGEST_LENGTH);
@@ -33,7 +33,7 @@
   return `${promptDigest.slice(0, 6)}-${sequence} `;
 }
 
-/** How many tokens a prompt gets: at least half of the most allowed. */
+/** Derives the number of generated tokens, at least half of `maxTokens`. */
 export function deriveTokenCount(
   promptDigest: string,
   maxTokens: number,
@@ -42,7 +42,7 @@
   return Math.max(1, Math.round(maxTokens * (0.5 + share / 2)));
 }
 
-/** The prompt that an entry makes for an engine. */
+/** Derives the prompt that an entry sends to an engine. */
 export function derivePrompt(text: string, previous: unknown): string {
   return `${JSON.stringify(previous)}\n${text}`;
 }
@@ -53,7 +53,7 @@
   maxTokens?: number | undefined;
 }
 
-/** Derives what a whole pipeline must answer. */
+/** Derives the expected output of a complete pipeline. */
 export function derivePipelineOutput(
   stages: readonly DerivedStage[],
   text: string,
@@ -74,7 +74,7 @@
   return Array.from({ length: count }, (_, i) => deriveToken(digest, i));
 }
 
-/** Derives the answer of a plain service. */
+/** Derives the response of a plain service. */
 export function deriveServiceAnswer(path: string, body: string) {
   return { path, digest: computeDigest([path, body]) };
 }
--- a/standins/src/engine_batch.ts
+++ b/standins/src/engine_batch.ts
@@ -1,22 +1,22 @@
 /**
- * Continuous batching of the stand-in engine: in each runStep every running
- * sequence advances by some tokens, and a runStep takes longer the more run.
+ * Continuous batching of the stand-in engine: in each step every running
+ * sequence advances by some tokens; a step takes longer the more sequences run.
  *
  * @module
  */
 import type { CancelTimer, Clock, Millis } from "@mangoreach/shared";
 import { deriveTokens } from "./derive.ts";
 
-/** How fast an engine is. */
+/** The speed of an engine. */
 export interface EngineTimes {
-  /** Sequences in the batch at most. */
+  /** Maximum number of sequences in the batch. */
   slots: number;
-  /** Time of a runStep without sequences. */
+  /** Time of a step without sequences. */
   stepMs: Millis;
-  /** Added to a runStep by each running sequence. */
+  /** Added to a step by each running sequence. */
   perSequenceMs: Millis;
   tokensPerStep: number;
-  /** Prefill time for 1,000 characters of prompt. */
+  /** Prefill time per 1,000 characters of prompt. */
   prefillPerThousandMs: Millis;
 }
 
@@ -30,7 +30,7 @@
   /** Tokens generated so far. */
   generated: number;
   prefillLeft: Millis;
-  /** Told after each runStep in which tokens came. */
+  /** Called after each step that generated tokens. */
   onProgress: () => void;
 }
 
@@ -46,9 +46,9 @@
 export interface EngineBatchOptions {
   clock: Clock;
   times: EngineTimes;
-  /** Multiplies the time of a runStep; for the fault switch. */
+  /** Returns the factor on the time of a step, which is a fault setting. */
   readSlowFactor: () => number;
-  /** Told the slot-seconds of each runStep. */
+  /** Called with the slot-seconds of each step. */
   onBusy: (seconds: number) => void;
 }
 
@@ -80,19 +80,19 @@
     }
   }
 
-  function computeStep(): Millis {
+  function computeStepTime(): Millis {
     const time = times.stepMs + times.perSequenceMs * running.size;
     return time * readSlowFactor();
   }
 
   function startStep(): void {
-    const duration = computeStep();
-    const dueAt = clock.now() + duration;
+    const duration = computeStepTime();
+    const scheduledAt = clock.now() + duration;
     stopTimer = clock.startTimer(duration, () => {
       stopTimer = undefined;
-      // A timer that fires late must not make the engine slower than it is.
-      const late = Math.max(0, clock.now() - dueAt);
-      runStep(duration > 0 ? 1 + Math.floor(late / duration) : 1, duration);
+      // Runs the missed steps too, so that a late timer does not slow the engine.
+      const lateness = Math.max(0, clock.now() - scheduledAt);
+      runStep(duration > 0 ? 1 + Math.floor(lateness / duration) : 1, duration);
       if (running.size > 0) startStep();
     });
   }
--- a/standins/src/engine_streams.ts
+++ b/standins/src/engine_streams.ts
@@ -1,6 +1,6 @@
 /**
- * The streams of the stand-in engine: who reads which generation, how long one
- * without readers is kept, resume and cancel.
+ * The streams of the stand-in engine: readers of each generation, the time for
+ * which one without readers continues, resume and cancel.
  *
  * @module
  */
@@ -10,27 +10,27 @@
 import type { EngineBatch, Sequence } from "./engine_batch.ts";
 import type { StandinRequest } from "./standin_server.ts";
 
-/** What a new stream begins with. */
+/** Options of {@linkcode EngineStreams.open}. */
 export interface StreamStart {
   response: ServerResponse;
-  /** How long it goes on without readers. */
+  /** How long the generation continues without readers. */
   lingerMs: Millis;
   /** The first event. */
   start: unknown;
-  /** Creates the sequence; it tells its progress. */
+  /** Creates the sequence, which calls `onProgress`. */
   createSequence: (onProgress: () => void) => Sequence;
 }
 
 /** The streams of one engine. */
 export interface EngineStreams {
-  /** Begins a generation with its first reader. */
+  /** Starts a generation with its first reader. */
   open(start: StreamStart): void;
   resume(request: StandinRequest): void;
   cancel(request: StandinRequest): void;
-  /** Cuts the connections of all readers. */
-  dropReaders(): void;
-  /** Ends all generations. */
-  dropAll(): void;
+  /** Closes the connections of all readers. */
+  closeReaders(): void;
+  /** Stops all generations and closes their readers. */
+  removeAll(): void;
 }
 
 interface Reader {
@@ -46,9 +46,9 @@
 }
 
 /** Finished generations can be resumed for this long. */
-const KEEP_FINISHED: Millis = 10_000;
+const FINISHED_RETENTION: Millis = 10_000;
 
-/** Creates the streams of an engine without any. */
+/** Creates the streams of an engine, none at first. */
 export function createEngineStreams(
   { clock, batch }: { clock: Clock; batch: EngineBatch },
 ): EngineStreams {
@@ -58,7 +58,7 @@
     { response, lingerMs, start, createSequence }: StreamStart,
   ): void {
     const generation: Generation = {
-      sequence: createSequence(() => sendWaiting(generation)),
+      sequence: createSequence(() => sendPending(generation)),
       lingerMs,
       readers: new Set(),
       stopLinger: undefined,
@@ -83,17 +83,20 @@
   function startLinger(generation: Generation): void {
     const isDone =
       generation.sequence.generated === generation.sequence.tokens.length;
-    const wait = isDone ? KEEP_FINISHED : generation.lingerMs;
-    generation.stopLinger = clock.startTimer(wait, () => drop(generation));
+    const wait = isDone ? FINISHED_RETENTION : generation.lingerMs;
+    generation.stopLinger = clock.startTimer(
+      wait,
+      () => removeGeneration(generation),
+    );
   }
 
-  function drop({ sequence, readers }: Generation): void {
+  function removeGeneration({ sequence, readers }: Generation): void {
     batch.remove(sequence);
     generations.delete(sequence.id);
     for (const { response } of readers) response.destroy();
   }
 
-  function sendWaiting({ sequence, readers }: Generation): void {
+  function sendPending({ sequence, readers }: Generation): void {
     for (const reader of readers) {
       let text = "";
       for (; reader.next < sequence.generated; reader.next++) {
@@ -114,26 +117,26 @@
     }
     writeStreamHead(response);
     addReader(generation, { response, next: Number(query.get("next") ?? 0) });
-    sendWaiting(generation);
+    sendPending(generation);
   }
 
   function cancel({ response, parts }: StandinRequest): void {
     const generation = generations.get(parts[0] ?? "");
-    if (generation !== undefined) drop(generation);
+    if (generation !== undefined) removeGeneration(generation);
     sendJson(response, { status: 200, body: {} });
   }
 
-  function dropReaders(): void {
+  function closeReaders(): void {
     for (const { readers } of generations.values()) {
       for (const { response } of readers) response.destroy();
     }
   }
 
-  function dropAll(): void {
-    for (const generation of generations.values()) drop(generation);
+  function removeAll(): void {
+    for (const generation of generations.values()) removeGeneration(generation);
   }
 
-  return { open, resume, cancel, dropReaders, dropAll };
+  return { open, resume, cancel, closeReaders, removeAll };
 }
 
 function writeStreamHead(response: ServerResponse): void {
--- a/standins/src/instance_list.ts
+++ b/standins/src/instance_list.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of the platform's instance list. What is put in shows after a lag.
+ * Stand-in of the platform's instance list. Changes become visible after a lag.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 export interface InstanceListOptions {
   clock: Clock;
   port?: number;
-  /** How long a change takes to show. */
+  /** Time until a change becomes visible. */
   lagMs?: Millis;
 }
 
@@ -24,7 +24,7 @@
 }
 
 const DEFAULT_LAG: Millis = 1_000;
-const KEPT_VERSIONS = 200;
+const MAX_VERSIONS = 200;
 
 /** Starts the list; `PUT /instances/{id}` and `DELETE` change it. */
 export function startInstanceList(
@@ -44,7 +44,7 @@
       version,
       instances: [...current.values()],
     });
-    if (versions.length > KEPT_VERSIONS) versions.shift();
+    if (versions.length > MAX_VERSIONS) versions.shift();
   }
 
   function readVisible({ faults }: StandinState): ListVersion {
--- a/standins/src/log_service.ts
+++ b/standins/src/log_service.ts
@@ -1,6 +1,6 @@
 /**
  * Stand-in of the platform's log service: append-only streams with offsets, a
- * bounded rate, limited retention and outages.
+ * rate limit, limited retention and outages.
  *
  * @module
  */
@@ -11,13 +11,13 @@
   StandinRequest,
   StandinState,
 } from "./standin_server.ts";
-import { startStandin, takeFault } from "./standin_server.ts";
+import { consumeFault, startStandin } from "./standin_server.ts";
 
 /** Options of {@linkcode startLogService}. */
 export interface LogServiceOptions {
   clock: Clock;
   port?: number;
-  /** Appends a second over all streams; more are answered 429. */
+  /** Appends per second to all streams together; others get status 429. */
   maxAppendsPerSecond?: number;
   retentionMs?: Millis;
 }
@@ -36,8 +36,8 @@
 
 const DEFAULT_RATE = 400;
 const DEFAULT_RETENTION: Millis = 24 * 3_600_000;
-const MAX_PAGE = 500;
-const SLOW_UNIT: Millis = 20;
+const MAX_PAGE_RECORDS = 500;
+const BASE_TIME: Millis = 20;
 
 /** Starts the log service. */
 export function startLogService(
@@ -52,7 +52,7 @@
   let windowStart = clock.now();
   let appends = 0;
 
-  function find(name: string): LogStreamState {
+  function getOrCreateStream(name: string): LogStreamState {
     const known = streams.get(name);
     if (known !== undefined) return known;
     const created = { next: 0, records: [], waiting: new Set<() => void>() };
@@ -83,8 +83,8 @@
     if (isOverRate()) {
       return sendJson(response, { status: 429, body: { error: "rate" } });
     }
-    if (faults.slowFactor > 1) await clock.sleep(SLOW_UNIT * faults.slowFactor);
-    const stream = find(parts[0] ?? "");
+    if (faults.slowFactor > 1) await clock.sleep(BASE_TIME * faults.slowFactor);
+    const stream = getOrCreateStream(parts[0] ?? "");
     const record = {
       offset: stream.next++,
       time: clock.now(),
@@ -92,8 +92,8 @@
     };
     stream.records.push(record);
     for (const wake of stream.waiting) wake();
-    // The action has taken effect; only the answer is lost.
-    if (takeFault(faults, "loseAnswers")) return void response.destroy();
+    // The record has been appended; only the response is lost.
+    if (consumeFault(faults, "loseAnswers")) return void response.destroy();
     const { offset, time } = record;
     sendJson(response, { status: 201, body: { offset, time } });
   }
@@ -102,8 +102,8 @@
     { response, parts, query }: StandinRequest,
     { faults }: StandinState,
   ): Promise<void> {
-    if (faults.slowFactor > 1) await clock.sleep(SLOW_UNIT * faults.slowFactor);
-    const stream = find(parts[0] ?? "");
+    if (faults.slowFactor > 1) await clock.sleep(BASE_TIME * faults.slowFactor);
+    const stream = getOrCreateStream(parts[0] ?? "");
     const from = Number(query.get("from") ?? 0);
     const wait = Number(query.get("wait_ms") ?? 0);
     if (stream.next <= from && wait > 0) await waitForAppend(stream, wait);
@@ -111,7 +111,7 @@
     dropExpired(stream);
     const first = stream.records[0]?.offset ?? stream.next;
     const start = Math.max(0, from - first);
-    const records = stream.records.slice(start, start + MAX_PAGE);
+    const records = stream.records.slice(start, start + MAX_PAGE_RECORDS);
     const next = (records.at(-1)?.offset ?? Math.max(from, first) - 1) + 1;
     sendJson(response, { status: 200, body: { first, next, records } });
   }
--- a/standins/src/main.ts
+++ b/standins/src/main.ts
@@ -21,13 +21,13 @@
   `Usage: mangoreach-standin --role ROLE [--options JSON] [--count N]
 
 Roles: log, instance_list, weight_store, engine, endpoint. Prints one JSON line
-with the addresses once all listen; ends on SIGTERM. An endpoint that is told to
-end refuses new work and finishes what is in progress first.
+with the addresses once all listen; stops on SIGTERM. An endpoint then refuses
+new work and finishes the work in progress first.
 `;
 
 const EXIT_USAGE = 2;
 const BUSY_CHECK_MS = 20;
-const LEAVE_MS = 200;
+const LEAVE_NOTICE_MS = 200;
 
 async function startRole(
   role: string,
@@ -56,15 +56,15 @@
 }
 
 async function stopGracefully(standins: Standin[]): Promise<void> {
-  for (const standin of standins) if ("leave" in standin) stopTaking(standin);
-  await new Promise((resolve) => setTimeout(resolve, LEAVE_MS));
+  for (const standin of standins) if ("leave" in standin) startDrain(standin);
+  await new Promise((resolve) => setTimeout(resolve, LEAVE_NOTICE_MS));
   while (standins.some((standin) => countBusy(standin) > 0)) {
     await new Promise((resolve) => setTimeout(resolve, BUSY_CHECK_MS));
   }
   process.exit(0);
 }
 
-function stopTaking(standin: object): void {
+function startDrain(standin: object): void {
   (standin as { leave: () => void }).leave();
 }
 
--- a/standins/src/mod.ts
+++ b/standins/src/mod.ts
@@ -29,7 +29,7 @@
 export type { EngineTimes } from "./engine_batch.ts";
 export type { EngineStandin, ModelEngineOptions } from "./model_engine.ts";
 export { startModelEngine } from "./model_engine.ts";
-export type { EngineModels } from "./engine_holding.ts";
+export type { LoadedModel } from "./ordered_inventory.ts";
 export type {
   BadReply,
   ScriptedReply,
--- a/standins/src/model_engine.ts
+++ b/standins/src/model_engine.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a model engine: continuous batching, a prefix cache in limited
- * memory, priorities, resume and cancel, late cache events with gaps, lagging
+ * Stand-in of a model engine: continuous batching, a prefix cache of limited
+ * size, priorities, resume and cancel, delayed cache events with gaps, delayed
  * load reports, and orders with or without a check of fencing numbers.
  *
  * @module
@@ -12,28 +12,31 @@
 import { computeDigest } from "./derive.ts";
 import type { EngineTimes, Sequence } from "./engine_batch.ts";
 import { createEngineBatch, createSequenceTokens } from "./engine_batch.ts";
-import type { OrderedHoldingOptions, OrderRecord } from "./engine_holding.ts";
-import { createOrderedHolding } from "./engine_holding.ts";
+import type {
+  OrderedInventoryOptions,
+  OrderRecord,
+} from "./ordered_inventory.ts";
+import { createOrderedInventory } from "./ordered_inventory.ts";
 import { createEngineStreams } from "./engine_streams.ts";
 import { createPrefixCache } from "./prefix_cache.ts";
 import type { EndpointStandin } from "./stage_endpoint.ts";
 import type { StandinRequest, StandinState } from "./standin_server.ts";
-import { startStandin, takeFault } from "./standin_server.ts";
+import { consumeFault, startStandin } from "./standin_server.ts";
 
 /** Options of {@linkcode startModelEngine}. */
-export interface ModelEngineOptions extends OrderedHoldingOptions {
+export interface ModelEngineOptions extends OrderedInventoryOptions {
   port?: number;
   times: EngineTimes;
   /** Prefixes that fit into the cache. */
   cacheSize?: number;
-  /** Load reports and cache events are this old. */
+  /** Delay of load reports and cache events. */
   lagMs?: Millis;
 }
 
 /** A running engine. */
 export interface EngineStandin extends EndpointStandin {
   readonly orders: OrderRecord[];
-  /** Cuts all open streams, as a broken network would. */
+  /** Closes the connections of all open streams, as a network failure would. */
   cutStreams(): void;
 }
 
@@ -51,7 +54,7 @@
 
 const DEFAULT_CACHE = 32;
 const DEFAULT_LAG: Millis = 300;
-/** A cached prefix leaves this share of the prefill to do. */
+/** Share of the prefill that remains if the prefix is cached. */
 const CACHED_PREFILL_SHARE = 0.3;
 const LEAVING_HEADERS = { "x-endpoint-state": "leaving" };
 
@@ -62,7 +65,7 @@
   const { clock, times, port = 0, lagMs = DEFAULT_LAG } = options;
   const incarnation = randomUUID();
   const cache = createPrefixCache(options.cacheSize ?? DEFAULT_CACHE, clock);
-  const holding = createOrderedHolding(options);
+  const inventory = createOrderedInventory(options);
   let isLeaving = false;
   let arrivals = 0;
   let slowFactor = () => 1;
@@ -82,7 +85,7 @@
   ): void {
     const call = parseJson(body) as GenerateBody;
     if (isLeaving) return refuse(response, "leaving");
-    if (!holding.holds(call.model)) return refuse(response, "not_loaded");
+    if (!inventory.hasModel(call.model)) return refuse(response, "not_loaded");
     ledger.push({
       requestId: call.request_id,
       stage: call.stage,
@@ -90,7 +93,7 @@
       at: clock.now(),
     });
     const streamId = randomUUID();
-    const isWrong = takeFault(faults, "wrongEchoes");
+    const isWrong = consumeFault(faults, "wrongEchoes");
     streams.open({
       response,
       lingerMs: call.linger_ms,
@@ -103,7 +106,7 @@
       createSequence: (onProgress) =>
         createSequence(call, { id: streamId, onProgress }),
     });
-    if (takeFault(faults, "cutAnswers")) {
+    if (consumeFault(faults, "cutAnswers")) {
       clock.startTimer(times.stepMs * 3, () => response.destroy());
     }
   }
@@ -129,7 +132,7 @@
   function readLoad({ response }: StandinRequest): void {
     const now = clock.now();
     if (now - report.takenAt >= lagMs) {
-      // The reading that is handed out now is from the last time.
+      // Sends the previous report, so that reports lag behind the load.
       const { running, queued } = batch;
       const next = { running, queued, takenAt: now };
       sendReport(response, report.takenAt === 0 ? next : report);
@@ -139,15 +142,15 @@
     sendReport(response, report);
   }
 
-  function sendReport(response: ServerResponse, shown: typeof report): void {
+  function sendReport(response: ServerResponse, reported: typeof report): void {
     sendJson(response, {
       status: 200,
       headers: isLeaving ? LEAVING_HEADERS : {},
       body: {
-        running: shown.running,
-        queued: shown.queued,
+        running: reported.running,
+        queued: reported.queued,
         slots: times.slots,
-        age_ms: Math.max(0, clock.now() - shown.takenAt),
+        age_ms: Math.max(0, clock.now() - reported.takenAt),
       },
     });
   }
@@ -163,7 +166,7 @@
   const standin = await startStandin({
     clock,
     port,
-    onStop: streams.dropAll,
+    onStop: streams.removeAll,
     routes: (state) => {
       slowFactor = () => state.faults.slowFactor;
       addBusy = (seconds) => state.busySeconds += seconds;
@@ -179,16 +182,16 @@
               events: cache.readEvents(Number(query.get("after")), lagMs),
             },
           }),
-        "POST /orders": holding.takeOrder,
+        "POST /orders": inventory.handleOrder,
         "GET /state": ({ response }) =>
           sendJson(response, {
             status: 200,
-            body: { incarnation, ...holding.readState() },
+            body: { incarnation, ...inventory.readState() },
           }),
         "GET /cache/*": ({ response, parts }) => {
-          const isHeld = cache.has(parts[0] ?? "");
+          const isPrefixCached = cache.has(parts[0] ?? "");
           sendJson(response, {
-            status: isHeld ? 200 : 404,
+            status: isPrefixCached ? 200 : 404,
             body: { cache: computeDigest(parts[0]) },
           });
         },
@@ -201,12 +204,12 @@
           sendJson(response, { status: 200, body: {} });
         },
         "GET /orders": ({ response }) =>
-          sendJson(response, { status: 200, body: holding.orders }),
+          sendJson(response, { status: 200, body: inventory.orders }),
       };
     },
   });
   return Object.assign(standin, {
-    orders: holding.orders,
+    orders: inventory.orders,
     leave() {
       isLeaving = true;
     },
@@ -214,6 +217,6 @@
       isLeaving = false;
     },
     countBusy: () => batch.running + batch.queued,
-    cutStreams: streams.dropReaders,
+    cutStreams: streams.closeReaders,
   });
 }
--- a/standins/src/prefix_cache.ts
+++ b/standins/src/prefix_cache.ts
@@ -1,17 +1,17 @@
 /**
- * The prefix cache of the stand-in engine, and the late events with gaps by
- * which it tells of it.
+ * The prefix cache of the stand-in engine, and the delayed events with gaps that
+ * report its changes.
  *
  * @module
  */
 import type { Clock, Millis } from "@mangoreach/shared";
 
-/** Prefixes in limited memory; the one used longest ago goes first. */
+/** A cache of limited size that evicts the least recently used prefix. */
 export interface PrefixCache {
-  /** Uses a prefix; returns whether it was cached. */
+  /** Caches a prefix or marks it as used; returns whether it was cached. */
   use(prefix: string): boolean;
   has(prefix: string): boolean;
-  /** What has changed behind an event, as far as it can be seen by now. */
+  /** Reads the events after a sequence number that are at least `lagMs` old. */
   readEvents(after: number, lagMs: Millis): Omit<CacheEventRecord, "at">[];
 }
 
@@ -22,9 +22,9 @@
   at: Millis;
 }
 
-/** Every so many events one is lost. */
-const EVENT_GAP = 10;
-const KEPT_EVENTS = 1_000;
+/** One event is lost in each group of this many. */
+const GAP_INTERVAL = 10;
+const MAX_EVENTS = 1_000;
 
 /** Creates an empty cache. */
 export function createPrefixCache(
@@ -37,8 +37,8 @@
 
   function record(kind: CacheEventRecord["kind"], prefix: string): void {
     const event = { sequence: sequence++, kind, prefix, at: clock.now() };
-    if (event.sequence % EVENT_GAP !== EVENT_GAP - 1) events.push(event);
-    if (events.length > KEPT_EVENTS) events.shift();
+    if (event.sequence % GAP_INTERVAL !== GAP_INTERVAL - 1) events.push(event);
+    if (events.length > MAX_EVENTS) events.shift();
   }
 
   function use(prefix: string): boolean {
--- a/standins/src/scripted_server.ts
+++ b/standins/src/scripted_server.ts
@@ -1,6 +1,6 @@
 /**
- * A server that answers with the very bytes a test gives it, for replies that
- * no honest peer would send.
+ * A server that replies with raw bytes set by a test, for replies that no
+ * correct peer would send.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 import { createServer } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** What to do with a connection once its request has arrived. */
+/** How to reply once a request has arrived on a connection. */
 export type ScriptedReply =
   | { kind: "bytes"; bytes: string }
   /** Sends the bytes, then resets the connection. */
   | { kind: "cut"; bytes: string }
-  /** Never answers. */
+  /** Never replies. */
   | { kind: "silence" };
 
 /** A running scripted server. */
@@ -24,7 +24,7 @@
   stop(): Promise<void>;
 }
 
-/** Starts a server that gives the same reply to every request. */
+/** Starts a server that sends the same reply to every request. */
 export async function startScriptedServer(
   reply: ScriptedReply,
 ): Promise<ScriptedServer> {
@@ -56,7 +56,7 @@
   };
 }
 
-/** Formats a createWhole HTTP answer. */
+/** Formats a complete HTTP response. */
 export function formatHttpReply(
   status: number,
   body: string,
@@ -67,7 +67,7 @@
     `content-length: ${length}\r\n\r\n${body}`;
 }
 
-/** A reply that no peer should send, with a name for tables of tests. */
+/** An invalid reply, with a name for test titles. */
 export interface BadReply {
   name: string;
   reply: ScriptedReply;
@@ -75,15 +75,18 @@
 
 /** Replies that break any JSON protocol over HTTP. */
 export const BAD_REPLIES: readonly BadReply[] = [
-  { name: "not JSON", reply: createWhole(200, "{broken") },
-  { name: "JSON of another form", reply: createWhole(200, '["what"]') },
-  { name: "null", reply: createWhole(200, "null") },
-  { name: "nothing", reply: createWhole(200, "") },
-  { name: "status 500", reply: createWhole(500, "{}") },
-  { name: "status 302", reply: createWhole(302, "{}") },
+  { name: "not JSON", reply: createCompleteReply(200, "{broken") },
+  {
+    name: "JSON of another shape",
+    reply: createCompleteReply(200, '["what"]'),
+  },
+  { name: "null", reply: createCompleteReply(200, "null") },
+  { name: "an empty body", reply: createCompleteReply(200, "") },
+  { name: "status 500", reply: createCompleteReply(500, "{}") },
+  { name: "status 302", reply: createCompleteReply(302, "{}") },
   { name: "not HTTP", reply: { kind: "bytes", bytes: "hello\r\n\r\n" } },
   {
-    name: "a cut body",
+    name: "a truncated body",
     reply: {
       kind: "cut",
       bytes: "HTTP/1.1 200 X\r\ncontent-length: 99\r\n\r\n{",
@@ -92,10 +95,10 @@
   { name: "a reset connection", reply: { kind: "cut", bytes: "" } },
   {
     name: "an oversized body",
-    reply: createWhole(200, `"${"x".repeat(5_000_000)}"`),
+    reply: createCompleteReply(200, `"${"x".repeat(5_000_000)}"`),
   },
 ];
 
-function createWhole(status: number, body: string): ScriptedReply {
+function createCompleteReply(status: number, body: string): ScriptedReply {
   return { kind: "bytes", bytes: formatHttpReply(status, body) };
 }
--- a/standins/src/slot_queue.ts
+++ b/standins/src/slot_queue.ts
@@ -1,19 +1,19 @@
 /**
- * Work on a fixed number of slots, first come, first served.
+ * A fixed number of slots with a first-in, first-out queue.
  *
  * @module
  */
 
-/** Slots with a queue in front. */
+/** Slots and the queue of work that waits for them. */
 export interface SlotQueue {
   readonly running: number;
   readonly queued: number;
-  /** Resolves when a slot is free; the slot must be given back. */
+  /** Resolves when a slot is acquired; the caller must release it. */
   acquire(): Promise<void>;
   release(): void;
 }
 
-/** Creates a queue before `slots` slots. */
+/** Creates a queue for `slots` slots. */
 export function createSlotQueue(slots: number): SlotQueue {
   const waiting: (() => void)[] = [];
   let running = 0;
--- a/standins/src/stage_endpoint.ts
+++ b/standins/src/stage_endpoint.ts
@@ -1,6 +1,6 @@
 /**
  * Stand-in of an encoder, retriever, reranker or plain service: a number of
- * slots, a time that depends on the input's size, and a queue.
+ * slots, a run time that depends on the input's size, and a queue.
  *
  * @module
  */
@@ -13,13 +13,17 @@
   StandinRequest,
   StandinState,
 } from "./standin_server.ts";
-import { sendFaultyJson, startStandin, takeFault } from "./standin_server.ts";
+import {
+  consumeFault,
+  sendFaultyJson,
+  startStandin,
+} from "./standin_server.ts";
 
-/** How long runWork takes and how much is done at once. */
+/** The run time of a call and how many calls run at once. */
 export interface StageTimes {
   slots: number;
   baseMs: Millis;
-  /** Added for each 1,000 characters of input. */
+  /** Added per 1,000 characters of input. */
   perThousandMs: Millis;
 }
 
@@ -32,11 +36,11 @@
 
 /** A running endpoint. */
 export interface EndpointStandin extends Standin {
-  /** Refuses new runWork from now on and says that it is leaving. */
+  /** Refuses new work from now on and reports that the endpoint is leaving. */
   leave(): void;
-  /** Undoes `leave`: it was a false alarm. */
+  /** Reverts `leave`, as after a false alarm. */
   stay(): void;
-  /** Work in progress. */
+  /** Counts the calls in progress, queued ones included. */
   countBusy(): number;
 }
 
@@ -50,7 +54,7 @@
 const LEAVING_HEADERS = { "x-endpoint-state": "leaving" };
 const REFUSAL = { verdict: "not_run", reason: "leaving" };
 
-/** Starts a stage endpoint, which also answers plain-service calls. */
+/** Starts a stage endpoint, which also serves plain-service calls. */
 export async function startStageEndpoint(
   { clock, port = 0, times }: StageEndpointOptions,
 ): Promise<EndpointStandin> {
@@ -59,8 +63,8 @@
 
   async function runWork(size: number, state: StandinState): Promise<void> {
     await queue.acquire();
-    const unloaded = times.baseMs + times.perThousandMs * size / 1_000;
-    const time = unloaded * state.faults.slowFactor;
+    const baseTime = times.baseMs + times.perThousandMs * size / 1_000;
+    const time = baseTime * state.faults.slowFactor;
     if (time > 0) await clock.sleep(time);
     state.busySeconds += time / 1_000;
     queue.release();
@@ -79,7 +83,7 @@
     const { request_id: requestId, stage, attempt, input } = call;
     state.ledger.push({ requestId, stage, attempt, at: clock.now() });
     await runWork(input.text.length, state);
-    const isWrong = takeFault(state.faults, "wrongEchoes");
+    const isWrong = consumeFault(state.faults, "wrongEchoes");
     sendFaultyJson(response, {
       faults: state.faults,
       status: 200,
@@ -106,7 +110,7 @@
       at: clock.now(),
     });
     await runWork(body.length, state);
-    const isWrong = takeFault(state.faults, "wrongEchoes");
+    const isWrong = consumeFault(state.faults, "wrongEchoes");
     sendFaultyJson(response, {
       faults: state.faults,
       status: 200,
--- a/standins/src/standin_server.ts
+++ b/standins/src/standin_server.ts
@@ -1,6 +1,6 @@
 /**
- * What all stand-ins share: a small HTTP server with routes, a fault switch at
- * `PUT /faults`, and a ledger of what was executed at `GET /ledger`.
+ * The HTTP server of all stand-ins, with routes, fault injection by
+ * `PUT /faults` and a ledger of executed calls at `GET /ledger`.
  *
  * @module
  */
@@ -18,35 +18,35 @@
 export interface StandinRequest {
   request: IncomingMessage;
   response: ServerResponse;
-  /** The parts of the path that `*` stands for. */
+  /** The decoded part of the path that matched `*`, if any. */
   parts: string[];
   query: URLSearchParams;
   body: string;
 }
 
-/** Answers one request. */
+/** Handles one request. */
 export type StandinHandler = (request: StandinRequest) => Promise<void> | void;
 
 /** Handlers by method and path pattern, such as `GET /streams/*`. */
 export type StandinRoutes = Record<string, StandinHandler>;
 
-/** A fault that can be switched on; times are milliseconds. */
+/** Faults that can be injected. */
 export interface Faults {
   /** Every request is refused with 503. */
   away: boolean;
-  /** Requests are taken and never answered. */
+  /** Requests are accepted and never answered. */
   hangs: boolean;
-  /** Everything takes this many times as long. */
+  /** Factor on the time of every operation. */
   slowFactor: number;
-  /** This many answers are lost after the action took effect. */
+  /** Number of responses that are lost after the call took effect. */
   loseAnswers: number;
-  /** This many answers name another request. */
+  /** Number of responses with the id of another request. */
   wrongEchoes: number;
-  /** This many answers are cut in the middle. */
+  /** Number of responses that are truncated. */
   cutAnswers: number;
-  /** This many answers are not JSON. */
+  /** Number of responses that are not JSON. */
   malformed: number;
-  /** This many calls are answered with 500 after they were executed. */
+  /** Number of calls that get status 500 after they were executed. */
   failures: number;
 }
 
@@ -77,7 +77,7 @@
   onStop?: () => void;
 }
 
-/** What handlers can see and change. */
+/** The state that handlers read and change. */
 export interface StandinState {
   faults: Faults;
   ledger: Execution[];
@@ -90,11 +90,11 @@
   requestTimeoutMs: 60_000,
   maxConnections: 100_000,
 };
-/** Paths that the `away` and `hangs` faults do not touch. */
+/** Paths that the `away` and `hangs` faults do not affect. */
 const CONTROL_PATHS = new Set(["/faults", "/ledger", "/usage"]);
 const MAX_BODY = 33_554_432;
 
-/** Creates faults that are all off. */
+/** Creates faults that are all switched off. */
 export function createNoFaults(): Faults {
   return {
     away: false,
@@ -108,8 +108,8 @@
   };
 }
 
-/** Uses up one of a counted fault; false when there is none left. */
-export function takeFault(
+/** Consumes one occurrence of a counted fault; returns false if none is left. */
+export function consumeFault(
   faults: Faults,
   name:
     | "loseAnswers"
@@ -134,26 +134,26 @@
   };
   const table = { ...createControlRoutes(state), ...routes(state) };
 
-  async function listen(
+  async function handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const url = new URL(request.url ?? "/", "http://standin");
-    const found = findRoute(table, `${request.method} ${url.pathname}`);
+    const match = findRoute(table, `${request.method} ${url.pathname}`);
     const isControl = CONTROL_PATHS.has(url.pathname);
     if (!isControl && state.faults.hangs) return;
     if (!isControl && state.faults.away) {
       return sendJson(response, { status: 503, body: { error: "away" } });
     }
-    if (found === undefined) {
+    if (match === undefined) {
       return sendJson(response, { status: 404, body: { error: "no route" } });
     }
     const body = await readBody(request, MAX_BODY);
     if (body.kind !== "whole") return void response.destroy();
-    await found.handler({
+    await match.handler({
       request,
       response,
-      parts: found.parts,
+      parts: match.parts,
       query: url.searchParams,
       body: body.body.toString(),
     });
@@ -161,7 +161,7 @@
 
   const server = await startServer(
     (request, response) => {
-      listen(request, response).catch(() => response.destroy());
+      handleRequest(request, response).catch(() => response.destroy());
     },
     { address: { host, port }, limits: LIMITS },
   );
@@ -207,7 +207,7 @@
   };
 }
 
-interface FoundRoute {
+interface RouteMatch {
   handler: StandinHandler;
   parts: string[];
 }
@@ -215,7 +215,7 @@
 function findRoute(
   table: StandinRoutes,
   target: string,
-): FoundRoute | undefined {
+): RouteMatch | undefined {
   const exact = table[target];
   if (exact !== undefined) return { handler: exact, parts: [] };
   for (const [pattern, handler] of Object.entries(table)) {
@@ -230,7 +230,7 @@
   return undefined;
 }
 
-/** Sends a JSON answer with the answer faults applied. */
+/** Sends a JSON response with the response faults applied. */
 export function sendFaultyJson(
   response: ServerResponse,
   { faults, status, body, headers }: {
@@ -240,17 +240,17 @@
     headers?: Record<string, string>;
   },
 ): void {
-  if (takeFault(faults, "loseAnswers")) return void response.destroy();
-  if (takeFault(faults, "malformed")) {
+  if (consumeFault(faults, "loseAnswers")) return void response.destroy();
+  if (consumeFault(faults, "malformed")) {
     response.writeHead(status);
     return void response.end('{"broken":');
   }
-  if (takeFault(faults, "cutAnswers")) {
+  if (consumeFault(faults, "cutAnswers")) {
     response.writeHead(status, { "content-length": "1000" });
     response.write("{");
     return void setImmediate(() => response.destroy());
   }
-  if (takeFault(faults, "failures")) {
+  if (consumeFault(faults, "failures")) {
     return sendJson(response, { status: 500, body: { error: "failed" } });
   }
   sendJson(response, {
--- a/standins/src/weight_store.ts
+++ b/standins/src/weight_store.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of the platform's rate-limited weight store. It knows every name.
+ * Stand-in of the platform's rate-limited weight store, which has every model.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 export interface WeightStoreOptions {
   clock: Clock;
   port?: number;
-  /** Look-ups a second; more are answered 429. */
+  /** Look-ups per second; others get status 429. */
   maxPerSecond?: number;
 }
 
