--- a/packages/peers/src/exchange_loop.ts
+++ b/packages/peers/src/exchange_loop.ts
@@ -43,7 +43,7 @@
   applyLimitUpdate?: (update: LimitUpdate) => void;
   /** The quarantined and suspected contents; undefined if there are none. */
   readPoisonUpdate?: () => PoisonUpdate | undefined;
-  applyPoisonUpdate?: (update: PoisonUpdate) => void;
+  applyPoison?: (update: PoisonUpdate) => void;
   /** Called for each newly discovered entry or incarnation. */
   onDiscovered: (record: PeerRecord) => void;
   /** Called for each newer heartbeat. */
@@ -189,9 +189,7 @@
     }
     message.leaving.forEach(options.markLeaving);
     for (const limit of message.limits ?? []) options.applyLimitUpdate?.(limit);
-    if (message.poison !== undefined) {
-      options.applyPoisonUpdate?.(message.poison);
-    }
+    if (message.poison !== undefined) options.applyPoison?.(message.poison);
   }
 
   function handleMessage(message: PeerExchange): PeerExchange {
--- a/packages/serving/src/peer_gossip.ts
+++ b/packages/serving/src/peer_gossip.ts
@@ -193,7 +193,7 @@
       chooseLimitUpdates: options.limits.chooseUpdates,
       applyLimitUpdate: options.limits.applyUpdate,
       readPoisonUpdate: options.quarantine.readUpdate,
-      applyPoisonUpdate: options.quarantine.applyUpdate,
+      applyPoison: options.quarantine.applyUpdate,
       onDiscovered: recordPeer,
       onHeartbeat: recordPeer,
       onReply: () => Promise.resolve(),
