--- a/scripts/guards.ts
+++ b/scripts/guards.ts
@@ -29,14 +29,14 @@
     file: `${COORDINATION}/config_fold.ts`,
     text: 'if (record.basedOn !== (inForce?.version ?? 0)) return "rejected";',
     without: "",
-    test: "takes the first of two conflicting publishes",
+    test: "applies the first of two conflicting publishes",
   },
   {
     name: "a late copy is ignored",
     file: `${COORDINATION}/config_fold.ts`,
     text: "const isNewer = record.version > (inForce?.version ?? 0);",
     without: "const isNewer = true;",
-    test: "ignores a copy that comes late",
+    test: "ignores a copy that arrives late",
   },
   {
     name: "publishes wait for a base",
@@ -51,7 +51,7 @@
     file: `${COORDINATION}/lease.ts`,
     text: 'if (!isHolder || at.time > current.expiresAt) return "refused";',
     without: 'if (!isHolder) return "refused";',
-    test: "paused past its lease",
+    test: "paused beyond its lease",
   },
   {
     name: "the first claim in log order wins",
@@ -59,7 +59,7 @@
     text: "if (holder === undefined) holders.set(key, claim);",
     without: "holders.set(key, claim);",
     test:
-      "counts a claim once|keeps accounts apart|lets the first in log order",
+      "counts a claim once|separates accounts|distinguishes accounts|lets the first in log order",
   },
   {
     name: "ids too old for the claims are refused",
@@ -146,7 +146,7 @@
     file: `${COORDINATION}/endpoint_directory.ts`,
     text: "!isMarked(formatEndpointKey(endpoint))",
     without: "true",
-    test: "before the instance list",
+    test: "report to the instance list",
   },
   {
     name: "a mark's age travels with it",
@@ -161,14 +161,14 @@
     text:
       "if (ejected + 1 > Math.floor(pool.length * SLOW_SHARE)) return undefined;",
     without: "",
-    test: "never takes out more than a third",
+    test: "never ejects more than a third",
   },
   {
     name: "lost peers are tried now and then",
     file: `${COORDINATION}/membership.ts`,
-    text: "const isLostTurn = random() < LOST_PARTNER_SHARE;",
-    without: "const isLostTurn = false;",
-    test: "so that a cut heals",
+    text: "const shouldTryLost = random() < LOST_PEER_SHARE;",
+    without: "const shouldTryLost = false;",
+    test: "so that a network partition heals",
   },
   {
     name: "an entry gets the configuration from peers",
