--- a/soak/src/crashing_request_test.ts
+++ b/soak/src/crashing_request_test.ts
@@ -6,12 +6,12 @@
 import { CRASHING_BODY, startCrashingSite } from "./crashing_site.ts";
 
 /**
- * One request ends each engine that begins to work on it, and comes again and
- * again, under a new id and to another entry each time. No entry sees three ends
- * by itself: over real connections, what each has seen must add up, and it must
- * outlast the end of all entries.
+ * Guards against a request that crashes every engine that runs it and is repeated
+ * under a new id through another entry each time. No single entry sees three
+ * crashes, so the crashes that all entries see must be added up, and the
+ * quarantine must survive the replacement of all entries.
  */
-describe("a request that ends each engine, over real connections", () => {
+describe("a request that crashes each engine, over real connections", () => {
   const ENTRIES = 4;
   const PAUSE_MS = 500;
   let site: CrashingSite;
@@ -38,7 +38,7 @@
     return { status: reply.statusCode, retryAfter };
   }
 
-  async function callAgainAndAgain(times: number) {
+  async function callRepeatedly(times: number) {
     let last = { status: 0, retryAfter: 0 };
     for (let time = 0; time < times; time++) {
       last = await call(`r-${Date.now()}-${time}`, { entry: time % ENTRIES });
@@ -47,24 +47,24 @@
     return last;
   }
 
-  it("ends three, and one more that it may have reached meanwhile", async () => {
-    // Entries have to have heard of each other.
+  it("crashes three engines, and at most one more that already runs it", async () => {
+    // Waits until the entries have discovered each other.
     await sleep(1_500);
-    const last = await callAgainAndAgain(8);
+    const last = await callRepeatedly(8);
     expect(site.ended.length).to.be.within(3, 4);
     expect(last.status).to.equal(503);
     expect(last.retryAfter).to.be.within(500, 600);
   });
 
-  it("is turned away by entries that start afterwards", async () => {
+  it("is refused by entries that start afterwards", async () => {
     const before = site.ended.length;
     await site.replaceEntries();
-    const last = await callAgainAndAgain(4);
+    const last = await callRepeatedly(4);
     expect(site.ended.length).to.equal(before);
     expect(last.status).to.equal(503);
   });
 
-  it("does not keep others from being served", async () => {
+  it("does not prevent other requests from being served", async () => {
     const statuses = await Promise.all(
       [0, 1, 2, 3].map((entry) => call(`other-${entry}`, { entry, body: "b" })),
     );
--- a/soak/src/crashing_site.ts
+++ b/soak/src/crashing_site.ts
@@ -1,6 +1,6 @@
 /**
- * Some entries in this process before engines that a certain body ends, with
- * real connections and a store of the soak.
+ * A site with in-process entries and engines that crash on a certain request
+ * body, with real connections and the store of the soak test.
  *
  * @module
  */
@@ -10,33 +10,33 @@
 import { startPlatformEntry } from "../../platform/src/platform_entry.ts";
 import { CONFIG_KEY, HEADER, TOPIC } from "../../platform/src/wire_names.ts";
 import { createEntrySettings, findEntryPorts } from "./entry_settings.ts";
-import { startKeyedStore } from "./keyed_store.ts";
+import { startTopicStore } from "./topic_store.ts";
 import { createSoakConfig } from "./soak_config.ts";
-import { readWholeBody, startSoakServer } from "./soak_server.ts";
+import { readCompleteBody, startSoakServer } from "./soak_server.ts";
 
 /** A running site. */
 export interface CrashingSite {
   /** Caller addresses of the entries. */
   readonly callers: readonly string[];
-  /** Ids of the engines that ended, in order. */
+  /** Ids of the engines that crashed, in order. */
   readonly ended: readonly string[];
-  /** Ends all entries at once and starts others, which knew nothing of them. */
+  /** Kills all entries at once and starts new ones without their state. */
   replaceEntries(): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** A body that ends the engine which begins to work on it. */
+/** A body that crashes the engine that runs it. */
 export const CRASHING_BODY = "crashing";
 const WORK_MS = 30;
-/** Until the record of an engine that ended lapses, and the next one starts. */
-const LAPSE_MS = 50;
+/** Time until the record of a crashed engine is removed and the next one starts. */
+const REMOVAL_DELAY_MS = 50;
 const ENGINES = 10;
 
 /** Starts the site; resolves once all entries are ready. */
 export async function startCrashingSite(
   entryCount: number,
 ): Promise<CrashingSite> {
-  const store = await startKeyedStore();
+  const store = await startTopicStore();
   store.put(
     TOPIC.operators,
     CONFIG_KEY,
@@ -51,12 +51,12 @@
   async function startEngine(): Promise<void> {
     const id = `i-${engineCount++}`;
     const server = await startSoakServer(async (request, response) => {
-      const body = String(await readWholeBody(request));
+      const body = String(await readCompleteBody(request));
       const requestId = String(request.headers[HEADER.requestId]);
       response.setHeader(HEADER.requestId, requestId);
       response.setHeader(HEADER.proof, "proof");
       await sleep(WORK_MS);
-      if (body === CRASHING_BODY) return void endEngine();
+      if (body === CRASHING_BODY) return void killEngine();
       response.end("id: 1\ndata: done\n\n");
     });
     closers.add(server.close);
@@ -68,11 +68,11 @@
       born: Date.now(),
     });
 
-    async function endEngine(): Promise<void> {
+    async function killEngine(): Promise<void> {
       if (!closers.delete(server.close)) return;
       ended.push(id);
       server.close();
-      await sleep(LAPSE_MS);
+      await sleep(REMOVAL_DELAY_MS);
       store.put(TOPIC.endpoints, id, undefined);
       if (!isStopped) await startEngine();
     }
@@ -127,7 +127,7 @@
       killEntries();
       closers.forEach((close) => close());
       store.close();
-      await sleep(LAPSE_MS);
+      await sleep(REMOVAL_DELAY_MS);
     },
   };
 }
--- a/soak/src/endpoint_signals.ts
+++ b/soak/src/endpoint_signals.ts
@@ -1,73 +1,73 @@
 /**
- * What endpoints of the soak say of the work that they take, and whether entries
- * kept to it, judged from what reached the endpoints.
+ * Back-pressure signals of the soak test's endpoints, and a check from the
+ * requests that reached them whether entries complied.
  *
  * @module
  */
 
-/** What an endpoint says in its answers for a while. */
+/** Signals that an endpoint sends in its responses for some time. */
 export interface SoakSignals {
-  /** Requests a second that it takes from all entries together. */
+  /** Requests per second that it accepts from all entries together. */
   limit?: number;
   isLeaving?: true;
-  /** It turns all away and asks for so long, in milliseconds. */
+  /** It refuses all requests and asks for a pause of this many milliseconds. */
   pause?: number;
 }
 
-/** A request as it reached an endpoint, run or not. */
-export interface SeenArrival {
-  /** Id and start of the endpoint. */
+/** A request that reached an endpoint, whether run or refused. */
+export interface ObservedArrival {
+  /** Endpoint key with the incarnation. */
   endpoint: string;
   requestId: string;
   at: number;
-  /** What the answer to it said. */
+  /** Signals in its response. */
   signals: SoakSignals;
-  /** When the head of that answer was sent; undefined before. */
-  answeredAt?: number;
+  /** When the response headers were sent; undefined before. */
+  respondedAt?: number;
 }
 
-/** A time during which an entry was harmed, by its caller address. */
-export interface HarmedSpan {
+/** A period in which a fault affected an entry, by its caller address. */
+export interface EntryFaultSpan {
   entry: string;
-  /** A process that ends or stands still forgets or misses what it was told. */
+  /** A stopped or paused process loses or misses signals. */
   kind: "stopped" | "cut";
   from: number;
   until: number;
 }
 
-/** What else has to be known. */
+/** Requests and faults that the checks depend on. */
 export interface SignalContext {
-  /** The entry that took a request, and when its caller sent it. */
+  /** The entry that received a request, and when its caller sent it. */
   requests: ReadonlyMap<string, { entry: string; sentAt: number }>;
-  harmed: readonly HarmedSpan[];
+  entryFaults: readonly EntryFaultSpan[];
 }
 
-/** From naming a limit until it must be kept. */
+/** Time from the first limit signal until the limit must be respected. */
 const SETTLE_MS = 3_000;
-/** An entry that was told this long ago keeps to it. */
-const TOLD_MS = 500;
+/** Time that an entry has to react to a signal. */
+const REACTION_MS = 500;
 const SPAN_MS = 4_000;
 const DRAIN_MS = 2_000;
 /** Requests of one entry that may reach an endpoint within its pause. */
 const ALLOWED_IN_PAUSE = 2;
 
-interface JudgedArrival extends SeenArrival {
+interface MatchedArrival extends ObservedArrival {
   entry: string;
   sentAt: number;
 }
 
-/** Where entries did not keep to what endpoints had told them. */
+/** Describes where entries ignored the signals of endpoints. */
 export function listIgnoredSignals(
-  arrivals: readonly SeenArrival[],
+  arrivals: readonly ObservedArrival[],
   context: SignalContext,
 ): string[] {
-  const judged = arrivals.flatMap((arrival) => {
+  const matched = arrivals.flatMap((arrival) => {
     const request = context.requests.get(arrival.requestId);
     return request === undefined ? [] : [{ ...arrival, ...request }];
   });
-  const endpoints = new Set(judged.map(({ endpoint }) => endpoint));
+  const endpoints = new Set(matched.map(({ endpoint }) => endpoint));
   return [...endpoints].flatMap((endpoint) => {
-    const list = judged.filter((arrival) => arrival.endpoint === endpoint);
+    const list = matched.filter((arrival) => arrival.endpoint === endpoint);
     return [
       ...listAboveLimit(list, context),
       ...listAfterLeaving(list, context),
@@ -76,76 +76,77 @@
   });
 }
 
-function isHarmed(
+function hasFault(
   entry: string,
-  { harmed }: SignalContext,
+  { entryFaults }: SignalContext,
   { from, until, kinds }: {
     from: number;
     until: number;
-    kinds: readonly HarmedSpan["kind"][];
+    kinds: readonly EntryFaultSpan["kind"][];
   },
 ): boolean {
-  return harmed.some((span) =>
+  return entryFaults.some((span) =>
     span.entry === entry && kinds.includes(span.kind) && span.from < until &&
     span.until > from
   );
 }
 
-/** The stretches of arrivals during which an endpoint named a limit. */
-function listLimitedStretches(
-  list: readonly JudgedArrival[],
-): JudgedArrival[][] {
-  const stretches: JudgedArrival[][] = [];
+/** Groups arrivals by the periods in which an endpoint reported a limit. */
+function listLimitedPeriods(
+  list: readonly MatchedArrival[],
+): MatchedArrival[][] {
+  const periods: MatchedArrival[][] = [];
   let isOpen = false;
   for (const arrival of list) {
     const isLimited = arrival.signals.limit !== undefined;
-    if (isLimited && !isOpen) stretches.push([]);
-    if (isLimited) stretches.at(-1)?.push(arrival);
+    if (isLimited && !isOpen) periods.push([]);
+    if (isLimited) periods.at(-1)?.push(arrival);
     isOpen = isLimited;
   }
-  return stretches;
+  return periods;
 }
 
 function listAboveLimit(
-  list: readonly JudgedArrival[],
+  list: readonly MatchedArrival[],
   context: SignalContext,
 ): string[] {
-  return listLimitedStretches(list).flatMap((stretch) => {
-    const [first] = stretch;
+  return listLimitedPeriods(list).flatMap((period) => {
+    const [first] = period;
     const limit = first?.signals.limit;
     if (first === undefined || limit === undefined) return [];
-    const most = countMostTold(stretch, {
+    const max = countMaxInformed(period, {
       from: first.at + SETTLE_MS,
       context,
     });
     const allowed = 1.5 * limit * SPAN_MS / 1_000 + 5;
-    if (most <= allowed) return [];
-    return [`${most} requests reached ${first.endpoint}, allowed ${allowed}`];
+    if (max <= allowed) return [];
+    return [`${max} requests reached ${first.endpoint}, allowed ${allowed}`];
   });
 }
 
-/** The most within a span from entries that had been told long enough. */
-function countMostTold(
-  stretch: readonly JudgedArrival[],
+/** Counts the most arrivals within a span from entries that had time to react. */
+function countMaxInformed(
+  period: readonly MatchedArrival[],
   { from, context }: { from: number; context: SignalContext },
 ): number {
-  const counted = stretch.filter(({ entry, at }) => {
-    const told = stretch.find((other) =>
-      other.entry === entry && (other.answeredAt ?? Infinity) + TOLD_MS <= at
+  const counted = period.filter(({ entry, at }) => {
+    const signalled = period.find((other) =>
+      other.entry === entry &&
+      (other.respondedAt ?? Infinity) + REACTION_MS <= at
     );
-    if (at < from || told === undefined) return false;
-    const isStopped = isHarmed(entry, context, {
-      from: told.at,
+    if (at < from || signalled === undefined) return false;
+    const isStopped = hasFault(entry, context, {
+      from: signalled.at,
       until: at,
       kinds: ["stopped"],
     });
-    // What a cut holds up arrives behind it, and counts for a span.
-    const isCut = isHarmed(entry, context, {
+    // Requests delayed by a link fault arrive after it and count for a span.
+    const isDelayed = hasFault(entry, context, {
       from: at - SPAN_MS,
       until: at,
       kinds: ["cut"],
     });
-    return !isStopped && !isCut;
+    return !isStopped && !isDelayed;
   });
   const counts = counted.map(({ at: start }) =>
     counted.filter(({ at }) => at >= start && at < start + SPAN_MS).length
@@ -154,43 +155,43 @@
 }
 
 function listAfterLeaving(
-  list: readonly JudgedArrival[],
+  list: readonly MatchedArrival[],
   context: SignalContext,
 ): string[] {
   return list.flatMap(({ requestId, endpoint, entry, sentAt, at }) => {
-    const told = list.find((other) =>
+    const signalled = list.find((other) =>
       other.entry === entry && other.signals.isLeaving === true &&
-      (other.answeredAt ?? Infinity) + DRAIN_MS < sentAt
+      (other.respondedAt ?? Infinity) + DRAIN_MS < sentAt
     );
-    const isExcused = told === undefined || isHarmed(entry, context, {
-      from: told.at,
+    const isExcused = signalled === undefined || hasFault(entry, context, {
+      from: signalled.at,
       until: at,
       kinds: ["stopped"],
     });
     return isExcused ? [] : [
-      `${requestId} reached ${endpoint}, which had told its entry it leaves`,
+      `${requestId} reached ${endpoint} after its entry was notified of the leaving`,
     ];
   });
 }
 
 function listInPause(
-  list: readonly JudgedArrival[],
+  list: readonly MatchedArrival[],
   context: SignalContext,
 ): string[] {
-  return list.flatMap(({ endpoint, entry, answeredAt, signals }) => {
-    if (signals.pause === undefined || answeredAt === undefined) return [];
-    const until = answeredAt + signals.pause;
+  return list.flatMap(({ endpoint, entry, respondedAt, signals }) => {
+    if (signals.pause === undefined || respondedAt === undefined) return [];
+    const until = respondedAt + signals.pause;
     const within = list.filter((other) =>
-      other.entry === entry && other.at >= answeredAt + TOLD_MS &&
+      other.entry === entry && other.at >= respondedAt + REACTION_MS &&
       other.at < until
     );
-    const isExcused = isHarmed(entry, context, {
-      from: answeredAt,
+    const isExcused = hasFault(entry, context, {
+      from: respondedAt,
       until,
       kinds: ["stopped", "cut"],
     });
     return within.length <= ALLOWED_IN_PAUSE || isExcused
       ? []
-      : [`${within.length} requests reached ${endpoint} in a pause`];
+      : [`${within.length} requests reached ${endpoint} during its pause`];
   });
 }
--- a/soak/src/endpoint_signals_site_test.ts
+++ b/soak/src/endpoint_signals_site_test.ts
@@ -4,62 +4,62 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { listIgnoredSignals } from "./endpoint_signals.ts";
-import type { SeenAnswer } from "./soak_callers.ts";
+import type { CallResult } from "./soak_callers.ts";
 import { createSoakCaller } from "./soak_callers.ts";
 import type { FaultKind } from "./soak_plan.ts";
 import { startSoakSite } from "./soak_site.ts";
 
 const ENTRIES = 3;
-/** Endpoints that speak: three plain ones, then the engine. */
-const FIRST_PLAIN = 0;
+/** Index among the endpoints that send signals: three plain ones, then the engine. */
+const FIRST_PLAIN_ENDPOINT = 0;
 const DURATION_MS = 3_000;
-/** Until everything that was said has had its effect. */
-const WATCHED_MS = 9_000;
+/** Long enough for all signals to take effect. */
+const OBSERVATION_MS = 9_000;
 const GAP_MS = 12;
 
-/** Real entries before an endpoint that says something, and nothing else. */
-async function runSite(kind: FaultKind) {
+/** Runs real entries with one signalling endpoint and no other fault. */
+async function collectIgnoredSignals(kind: FaultKind) {
   const folder = mkdtempSync(join(tmpdir(), "mangoreach-signals-"));
   const site = await startSoakSite({ entryCount: ENTRIES, folder });
-  const answers: SeenAnswer[] = [];
+  const results: CallResult[] = [];
   const caller = createSoakCaller({
     addresses: site.callerAddresses,
-    onAnswer: (answer) => answers.push(answer),
+    onResult: (result) => results.push(result),
   });
   void site.applyFault({
     kind,
     at: 0,
     duration: DURATION_MS,
-    target: FIRST_PLAIN,
+    target: FIRST_PLAIN_ENDPOINT,
   });
   const pending: Promise<unknown>[] = [];
   const startedAt = Date.now();
-  for (let count = 0; Date.now() - startedAt < WATCHED_MS; count++) {
+  for (let count = 0; Date.now() - startedAt < OBSERVATION_MS; count++) {
     pending.push(caller.call(`${kind}-${count}`, "plain", "key-1"));
     await sleep(GAP_MS);
   }
   await Promise.all(pending);
   const requests = new Map(
-    answers.map(({ id, entry, sentAt }) => [id, { entry, sentAt }]),
+    results.map(({ id, entry, sentAt }) => [id, { entry, sentAt }]),
   );
-  const { arrivals, harmed } = site;
-  const ignored = listIgnoredSignals(arrivals, { requests, harmed });
+  const { arrivals, entryFaults } = site;
+  const ignored = listIgnoredSignals(arrivals, { requests, entryFaults });
   await caller.close();
   await site.stop();
-  const served = answers.filter(({ status }) => status === 200).length;
-  return { ignored, share: served / answers.length };
+  const served = results.filter(({ status }) => status === 200).length;
+  return { ignored, share: served / results.length };
 }
 
-describe("entries before an endpoint, over real connections", () => {
+describe("entries with a signalling endpoint, over real connections", () => {
   const KINDS: readonly FaultKind[] = [
     "endpoint_limited",
     "endpoint_paused",
     "endpoint_says_leaving",
   ];
   for (const kind of KINDS) {
-    // Its pool has two others, so its callers need not notice.
-    it(`keep to what it says: ${kind}`, async () => {
-      const { ignored, share } = await runSite(kind);
+    // Its pool has two other endpoints, so nearly all requests must succeed.
+    it(`respect its signals: ${kind}`, async () => {
+      const { ignored, share } = await collectIgnoredSignals(kind);
       expect(ignored).to.deep.equal([]);
       expect(share).to.be.at.least(0.98);
     }).timeout(30_000);
--- a/soak/src/endpoint_signals_test.ts
+++ b/soak/src/endpoint_signals_test.ts
@@ -1,16 +1,16 @@
 import { expect } from "chai";
 import type {
-  HarmedSpan,
-  SeenArrival,
+  EntryFaultSpan,
+  ObservedArrival,
   SoakSignals,
 } from "./endpoint_signals.ts";
 import { listIgnoredSignals } from "./endpoint_signals.ts";
 
-/** Arrivals of one entry at one endpoint, so many milliseconds apart. */
+/** Creates arrivals of one entry at one endpoint, `gap` milliseconds apart. */
 function createArrivals(
   count: number,
   { gap, signals }: { gap: number; signals: (at: number) => SoakSignals },
-): SeenArrival[] {
+): ObservedArrival[] {
   return Array.from({ length: count }, (_, index) => {
     const at = index * gap;
     return {
@@ -18,14 +18,14 @@
       requestId: String(index),
       at,
       signals: signals(at),
-      answeredAt: at + 10,
+      respondedAt: at + 10,
     };
   });
 }
 
-function judge(
-  arrivals: readonly SeenArrival[],
-  harmed: readonly HarmedSpan[] = [],
+function countIgnored(
+  arrivals: readonly ObservedArrival[],
+  entryFaults: readonly EntryFaultSpan[] = [],
 ): number {
   const requests = new Map(
     arrivals.map(({ requestId, at }) => [
@@ -33,17 +33,17 @@
       { entry: "entry-1", sentAt: at },
     ]),
   );
-  return listIgnoredSignals(arrivals, { requests, harmed }).length;
+  return listIgnoredSignals(arrivals, { requests, entryFaults }).length;
 }
 
-const HARM: HarmedSpan = {
+const ENTRY_FAULT: EntryFaultSpan = {
   entry: "entry-1",
   kind: "cut",
   from: 0,
   until: 60_000,
 };
 
-describe("signals of the soak's endpoints", () => {
+describe("signals of soak endpoints", () => {
   const limited = { gap: 50, signals: () => ({ limit: 4 }) };
   const leaving = { gap: 500, signals: () => ({ isLeaving: true as const }) };
   const paused = {
@@ -51,36 +51,47 @@
     signals: (at: number) => at === 0 ? { pause: 1_500 } : {},
   };
   const CASES = [
-    { name: "20 a second, 4 named", arrivals: createArrivals(200, limited) },
-    { name: "5 s after its leaving", arrivals: createArrivals(10, leaving) },
-    { name: "six in a pause", arrivals: createArrivals(8, paused) },
+    { name: "20 per second, limit 4", arrivals: createArrivals(200, limited) },
+    {
+      name: "requests up to 5 s after its leaving signal",
+      arrivals: createArrivals(10, leaving),
+    },
+    { name: "six requests in a pause", arrivals: createArrivals(8, paused) },
   ];
   for (const { name, arrivals } of CASES) {
-    it(`notices what was ignored: ${name}`, () => {
-      expect(judge(arrivals)).to.be.greaterThan(0);
+    it(`detects an ignored signal: ${name}`, () => {
+      expect(countIgnored(arrivals)).to.be.greaterThan(0);
     });
   }
 
-  const KEPT = [
-    { name: "4 a second", list: createArrivals(40, { ...limited, gap: 250 }) },
-    { name: "a limit of 2 s", list: createArrivals(40, limited) },
-    { name: "one within 2 s", list: createArrivals(4, leaving) },
+  const RESPECTED = [
+    {
+      name: "4 per second",
+      list: createArrivals(40, { ...limited, gap: 250 }),
+    },
+    { name: "a limit that lasts 2 s", list: createArrivals(40, limited) },
     {
-      name: "few in a pause",
+      name: "requests within 2 s of its leaving signal",
+      list: createArrivals(4, leaving),
+    },
+    {
+      name: "few requests in a pause",
       list: createArrivals(4, { ...paused, gap: 600 }),
     },
   ];
-  for (const { name, list } of KEPT) {
-    it(`finds nothing in what was kept: ${name}`, () => {
-      expect(judge(list)).to.equal(0);
+  for (const { name, list } of RESPECTED) {
+    it(`reports nothing for a respected signal: ${name}`, () => {
+      expect(countIgnored(list)).to.equal(0);
     });
   }
 
-  it("excuses an entry that was cut, but not from an endpoint's leaving", () => {
-    const broken = CASES.map(({ arrivals }) => judge(arrivals, [HARM]) > 0);
-    expect(broken).to.deep.equal([false, true, false]);
+  it("excuses an entry with a link fault, except for a leaving signal", () => {
+    const detected = CASES.map(({ arrivals }) =>
+      countIgnored(arrivals, [ENTRY_FAULT]) > 0
+    );
+    expect(detected).to.deep.equal([false, true, false]);
     const stopped = CASES.map(({ arrivals }) =>
-      judge(arrivals, [{ ...HARM, kind: "stopped" }])
+      countIgnored(arrivals, [{ ...ENTRY_FAULT, kind: "stopped" }])
     );
     expect(stopped).to.deep.equal([0, 0, 0]);
   });
--- a/soak/src/endpoint_slot.ts
+++ b/soak/src/endpoint_slot.ts
@@ -1,58 +1,58 @@
 /**
- * Endpoints of a site that end, leave and come back.
+ * Endpoints of a site that crash, leave and are replaced.
  *
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { formatEndpointKey } from "@mangoreach/coordination";
 import { TOPIC } from "../../platform/src/wire_names.ts";
-import type { SeenArrival, SoakSignals } from "./endpoint_signals.ts";
+import type { ObservedArrival, SoakSignals } from "./endpoint_signals.ts";
 import type { FaultProxy } from "./fault_proxy.ts";
 import { startFaultProxy } from "./fault_proxy.ts";
-import type { KeyedStore } from "./keyed_store.ts";
+import type { TopicStore } from "./topic_store.ts";
 import type { RunLog, SoakEndpoint } from "./soak_endpoints.ts";
 import { startServingEndpoint, startStageEndpoint } from "./soak_endpoints.ts";
 
 const HEARTBEAT_MS = 400;
-/** In the order in which a fault's target counts them. */
+/** Endpoints per pool, in the order that the `target` of a fault indexes. */
 const ENDPOINT_COUNTS = { plain: 3, stage: 2, engine: 1 };
 
-/** The third endpoint of a pool lies in a place of its own. */
-const FAR_INDEX = 2;
+/** Index of the endpoint of a pool that runs in the place to evacuate. */
+const EVACUATED_INDEX = 2;
 /** The place that is evacuated. */
-export const FAR_PLACE = "y";
+export const EVACUATED_PLACE = "y";
 
-/** The place of an endpoint: one after the other listens behind its proxy. */
+/** A position in a pool: successive endpoints listen behind the same proxy. */
 export interface EndpointSlot {
   readonly proxy: FaultProxy;
   readonly pool: string;
   readonly place: string;
-  /** Tells its starts apart. */
+  /** Key of the current endpoint, which differs for each incarnation. */
   readKey(): string;
-  /** Kills it; after a while another starts at the same address. */
+  /** Kills the endpoint; another starts at the same address after `duration` ms. */
   replace(duration: number): Promise<void>;
-  /** Kills it; after a while it starts again under its id. */
+  /** Kills the endpoint; it restarts under the same id after `duration` ms. */
   restart(duration: number): Promise<void>;
-  /** Announces that it leaves; another takes its place after that. */
+  /** Announces in the store that the endpoint leaves, then replaces it. */
   leave(): Promise<void>;
-  /** Says so in its answers for a while; the store hears nothing of it. */
-  say(signals: SoakSignals, duration: number): Promise<void>;
-  /** Says in its answers that it leaves, and goes after a while. */
-  sayLeaving(duration: number): Promise<void>;
-  /** Announces that it is cold; returns when it is warm again. */
-  turnCold(duration: number): Promise<void>;
+  /** Sends signals in responses for `duration` ms, without telling the store. */
+  sendSignals(signals: SoakSignals, duration: number): Promise<void>;
+  /** Reports in responses only that it leaves; it is replaced after `duration` ms. */
+  signalLeaving(duration: number): Promise<void>;
+  /** Announces that the endpoint is cold; resolves when it is warm again. */
+  runCold(duration: number): Promise<void>;
   close(): void;
 }
 
-/** Where endpoints write down what they see. */
+/** Logs that endpoints append to. */
 export interface EndpointLogs {
   runs: RunLog;
-  arrivals: SeenArrival[];
+  arrivals: ObservedArrival[];
 }
 
-/** Starts all endpoints of a site; they announce themselves in the store. */
+/** Starts all endpoints of a site and publishes their records in the store. */
 export function startEndpoints(
-  store: KeyedStore,
+  store: TopicStore,
   logs: EndpointLogs,
 ): Promise<EndpointSlot[]> {
   return Promise.all(
@@ -66,11 +66,11 @@
 }
 
 async function startSlot(
-  store: KeyedStore,
+  store: TopicStore,
   { pool, index, logs }: { pool: string; index: number; logs: EndpointLogs },
 ): Promise<EndpointSlot> {
-  const place = index === FAR_INDEX ? FAR_PLACE : "z";
-  let idNumber = 0;
+  const place = index === EVACUATED_INDEX ? EVACUATED_PLACE : "z";
+  let idSequence = 0;
   let isClosed = false;
   let state = "ready";
   let startedAt = Date.now();
@@ -78,7 +78,7 @@
   let signals: SoakSignals = {};
   const start = (): Promise<SoakEndpoint> => {
     startedAt = Date.now();
-    const id = `i-${pool}-${index}-${idNumber}`;
+    const id = `i-${pool}-${index}-${idSequence}`;
     return pool === "stage"
       ? startStageEndpoint(id)
       : startServingEndpoint(id, {
@@ -89,7 +89,7 @@
   };
   let endpoint = await start();
   const proxy = await startFaultProxy(endpoint.address);
-  const announce = () =>
+  const publishRecord = () =>
     store.put(TOPIC.endpoints, endpoint.id, {
       service: pool,
       address: proxy.address,
@@ -98,24 +98,27 @@
       born: startedAt,
       coldLeftMs: Math.max(0, coldUntil - Date.now()),
     });
-  announce();
-  const heartbeat = setInterval(announce, HEARTBEAT_MS);
+  publishRecord();
+  const heartbeat = setInterval(publishRecord, HEARTBEAT_MS);
 
-  async function startNext(): Promise<void> {
+  async function startSuccessor(): Promise<void> {
     store.put(TOPIC.endpoints, endpoint.id, undefined);
-    idNumber++;
-    await startAgain();
+    idSequence++;
+    await startReplacement();
   }
 
-  /** Faults overlap: another one may have started an endpoint meanwhile. */
-  async function startAgain(): Promise<void> {
+  /**
+   * Starts an endpoint behind the proxy. Faults overlap, so it closes the endpoint
+   * that another one may have started meanwhile.
+   */
+  async function startReplacement(): Promise<void> {
     const next = await start();
     endpoint.close();
     endpoint = next;
     if (isClosed) return endpoint.close();
     proxy.setTarget(endpoint.address);
     state = "ready";
-    announce();
+    publishRecord();
   }
 
   return {
@@ -130,36 +133,36 @@
     async replace(duration) {
       endpoint.close();
       await sleep(duration);
-      await startNext();
+      await startSuccessor();
     },
     async restart(duration) {
       endpoint.close();
       await sleep(duration);
-      await startAgain();
+      await startReplacement();
     },
-    async say(said, duration) {
-      signals = { ...signals, ...said };
+    async sendSignals(sent, duration) {
+      signals = { ...signals, ...sent };
       await sleep(duration);
       signals = {};
     },
-    async sayLeaving(duration) {
+    async signalLeaving(duration) {
       signals = { ...signals, isLeaving: true };
       await sleep(duration);
       signals = {};
       endpoint.close();
-      await startNext();
+      await startSuccessor();
     },
-    async turnCold(duration) {
+    async runCold(duration) {
       coldUntil = Date.now() + duration;
-      announce();
+      publishRecord();
       await sleep(duration);
-      announce();
+      publishRecord();
     },
     async leave() {
       state = "draining";
-      announce();
+      publishRecord();
       await sleep(4_000);
-      await startNext();
+      await startSuccessor();
     },
     close() {
       isClosed = true;
--- a/soak/src/entry_settings.ts
+++ b/soak/src/entry_settings.ts
@@ -1,29 +1,29 @@
 /**
- * Settings of entries under test, on ports of loopback.
+ * Settings of entries under test, which listen on loopback ports.
  *
  * @module
  */
 import type { PlatformSettings } from "../../platform/src/platform_settings.ts";
-import { findPorts } from "./free_ports.ts";
+import { findFreePorts } from "./free_ports.ts";
 
-/** Where an entry listens, as `ip:port`. */
+/** Addresses that an entry listens on, as `ip:port`. */
 export type EntryPorts = Pick<
   PlatformSettings,
   "callers" | "ready" | "addresses" | "control" | "metrics"
 >;
 
-/** Time that an entry has to stop, in seconds. */
+/** Time limit for an entry to stop, in seconds. */
 export const STOP_S = 8;
-const PORTS_AN_ENTRY = 5;
+const PORTS_PER_ENTRY = 5;
 
-/** Finds ports for all that an entry listens on. */
+/** Finds free ports for all addresses of an entry. */
 export async function findEntryPorts(): Promise<EntryPorts> {
   const [callers = "", ready = "", addresses = "", control = "", metrics = ""] =
-    await findPorts(PORTS_AN_ENTRY);
+    await findFreePorts(PORTS_PER_ENTRY);
   return { callers, ready, addresses, control, metrics };
 }
 
-/** Creates the settings of an entry that has a core of its own. */
+/** Creates the settings of an entry that has one core to itself. */
 export function createEntrySettings(
   entry: string,
   { ports, store, logLevel }: {
--- a/soak/src/fault_proxy.ts
+++ b/soak/src/fault_proxy.ts
@@ -1,5 +1,5 @@
 /**
- * A loopback proxy that harms the connections through it from outside both ends.
+ * A loopback TCP proxy that injects network faults into its connections.
  *
  * @module
  */
@@ -8,23 +8,23 @@
 import type { AddressInfo } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** What the proxy does with bytes. */
+/** How the proxy treats traffic. */
 export type ProxyMode =
   | "passing"
-  /** Each chunk waits. */
+  /** Each chunk is delayed. */
   | "delayed"
-  /** Answers are lost, requests arrive. */
+  /** Requests are forwarded, responses are dropped. */
   | "one_way"
-  /** Nothing passes, and nobody is told. */
+  /** All traffic is dropped without closing connections. */
   | "silent";
 
-/** A proxy before one address. */
+/** A proxy in front of one address. */
 export interface FaultProxy {
   readonly address: string;
   setMode(mode: ProxyMode): void;
   /** Resets all open connections. */
-  dropAll(): void;
-  /** Where new connections go from now on. */
+  resetAll(): void;
+  /** Sets the address that new connections are forwarded to. */
   setTarget(address: string): void;
   close(): void;
 }
@@ -37,47 +37,47 @@
   let current = target;
   const sockets = new Set<Socket>();
 
-  /** Passes one direction on, in order as TCP does. */
-  function sendOn(from: Socket, to: Socket, isAnswer: boolean): void {
+  /** Forwards one direction and preserves the order of bytes. */
+  function forward(from: Socket, to: Socket, isResponse: boolean): void {
     let lastSend: Promise<void> = Promise.resolve();
-    // What is lost is lost for good: a connection never goes on behind a gap.
-    let isLost = false;
+    // Once bytes are dropped, the direction stays dropped: a TCP stream has no gaps.
+    let hasDropped = false;
 
-    function addSend(send: () => void): void {
-      const pause = mode === "delayed" ? DELAY_MS : 0;
-      const due = sleep(pause);
+    function enqueueSend(send: () => void): void {
+      const delay = mode === "delayed" ? DELAY_MS : 0;
+      const due = sleep(delay);
       lastSend = lastSend.then(() => due).then(send);
     }
 
     from.on("data", (chunk) => {
-      isLost ||= mode === "silent" || (mode === "one_way" && isAnswer);
-      if (isLost) return;
-      addSend(() => {
+      hasDropped ||= mode === "silent" || (mode === "one_way" && isResponse);
+      if (hasDropped) return;
+      enqueueSend(() => {
         if (!to.destroyed) to.write(chunk);
       });
     });
     from.on("end", () => {
-      if (!isLost && mode !== "silent") addSend(() => to.end());
+      if (!hasDropped && mode !== "silent") enqueueSend(() => to.end());
     });
     from.on("error", () => to.resetAndDestroy());
     from.on("close", () => {
       sockets.delete(from);
-      if (!isLost && mode !== "silent") addSend(() => to.destroy());
+      if (!hasDropped && mode !== "silent") enqueueSend(() => to.destroy());
     });
   }
 
-  const server: Server = createServer({ allowHalfOpen: true }, (near) => {
+  const server: Server = createServer({ allowHalfOpen: true }, (client) => {
     const [host = "", port] = current.split(":");
-    const far = connect({ host, port: Number(port), allowHalfOpen: true });
-    sockets.add(near);
-    sockets.add(far);
-    sendOn(near, far, false);
-    sendOn(far, near, true);
+    const upstream = connect({ host, port: Number(port), allowHalfOpen: true });
+    sockets.add(client);
+    sockets.add(upstream);
+    forward(client, upstream, false);
+    forward(upstream, client, true);
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
 
-  function dropAll(): void {
+  function resetAll(): void {
     for (const socket of sockets) socket.resetAndDestroy();
   }
 
@@ -86,12 +86,12 @@
     setMode(next) {
       mode = next;
     },
-    dropAll,
+    resetAll,
     setTarget(address) {
       current = address;
     },
     close() {
-      dropAll();
+      resetAll();
       server.close();
     },
   };
--- a/soak/src/fault_proxy_test.ts
+++ b/soak/src/fault_proxy_test.ts
@@ -6,29 +6,29 @@
 import type { FaultProxy } from "./fault_proxy.ts";
 import { startFaultProxy } from "./fault_proxy.ts";
 
-describe("proxy of the soak", () => {
+describe("fault proxy", () => {
   let server: Server;
   let proxy: FaultProxy;
-  let near: Socket;
-  let far: Socket;
+  let client: Socket;
+  let upstream: Socket;
 
   beforeEach(async () => {
     server = createServer((socket) => {
-      far = socket;
-      far.on("error", () => {});
+      upstream = socket;
+      upstream.on("error", () => {});
     });
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
     const { port } = server.address() as AddressInfo;
     proxy = await startFaultProxy(`127.0.0.1:${port}`);
-    const [host, nearPort] = proxy.address.split(":");
-    near = connect({ host: host ?? "", port: Number(nearPort) });
-    near.on("error", () => {});
+    const [host, proxyPort] = proxy.address.split(":");
+    client = connect({ host: host ?? "", port: Number(proxyPort) });
+    client.on("error", () => {});
     await once(server, "connection");
   });
 
   afterEach(() => {
-    near.destroy();
+    client.destroy();
     proxy.close();
     server.close();
   });
@@ -41,26 +41,27 @@
     return text;
   };
 
-  // Bytes that were held up arrived behind later ones when a delay ended in the
-  // middle of an answer; it looked whole with a gap, which no network does.
-  it("keeps the order when a delay ends", async () => {
+  // Guards against delayed bytes that arrive after later ones when a delay ends
+  // in the middle of a response: the response would look complete with bytes
+  // out of order, which TCP never does.
+  it("preserves the order of bytes when a delay ends", async () => {
     proxy.setMode("delayed");
-    far.write("first ");
+    upstream.write("first ");
     await new Promise((resolve) => setTimeout(resolve, 20));
     proxy.setMode("passing");
-    far.write("second");
-    expect(await readAll(near, 12)).to.equal("first second");
+    upstream.write("second");
+    expect(await readAll(client, 12)).to.equal("first second");
   });
 
-  it("never goes on behind what was lost", async () => {
+  it("forwards nothing after dropped bytes", async () => {
     proxy.setMode("one_way");
-    far.write("lost ");
-    near.write("asked");
-    expect(await readAll(far, 5)).to.equal("asked");
+    upstream.write("lost ");
+    client.write("asked");
+    expect(await readAll(upstream, 5)).to.equal("asked");
     proxy.setMode("passing");
-    far.write("later");
-    proxy.dropAll();
-    await new Promise((resolve) => near.once("close", resolve));
-    expect(near.bytesRead).to.equal(0);
+    upstream.write("later");
+    proxy.resetAll();
+    await new Promise((resolve) => client.once("close", resolve));
+    expect(client.bytesRead).to.equal(0);
   });
 });
--- a/soak/src/free_ports.ts
+++ b/soak/src/free_ports.ts
@@ -1,13 +1,13 @@
 /**
- * Ports that processes of the soak listen on.
+ * Ports for the processes of the soak test.
  *
  * @module
  */
 import { createServer } from "node:net";
 
 /**
- * Below the ports that the system gives to outgoing connections: one of those
- * could take an entry's port while the entry is down.
+ * Below the operating system's ephemeral port range: an outgoing connection
+ * could otherwise use an entry's port while the entry is down.
  */
 const FIRST_PORT = 18_000;
 const PORT_COUNT = 12_000;
@@ -23,8 +23,8 @@
   return isListening;
 }
 
-/** Finds ports of loopback that are free now, as `ip:port`. */
-export async function findPorts(count: number): Promise<string[]> {
+/** Finds loopback ports that are currently free, as `ip:port`. */
+export async function findFreePorts(count: number): Promise<string[]> {
   const found: string[] = [];
   while (found.length < count) {
     const port = FIRST_PORT + nextPort++ % PORT_COUNT;
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak`: runs the program under random faults from outside and checks
- * the promises while it does.
+ * `npm run soak`: runs the built program while injecting random faults from the
+ * outside, and checks that it keeps its guarantees.
  *
  * @module
  */
@@ -9,18 +9,18 @@
 import { join } from "node:path";
 import process from "node:process";
 import { parseArgs } from "node:util";
-import type { KeptSeed } from "./kept_seeds.ts";
-import { KEPT_SEEDS } from "./kept_seeds.ts";
+import type { RegressionSeed } from "./regression_seeds.ts";
+import { REGRESSION_SEEDS } from "./regression_seeds.ts";
 import { runSoak } from "./soak_run.ts";
 
 const USAGE = `Usage: npm run soak -- [options]
 
-  --seeds N     how many runs (1)
-  --seed S      the first seed; otherwise a fresh one
-  --kept        the seeds that failed once
-  --seconds T   time with faults of one run (8)
-  --entries N   entries of a site (3)
-  --jobs N      runs at a time (1)
+  --seeds N     number of runs (1)
+  --seed S      the first seed; by default a new one
+  --kept        only the regression seeds
+  --seconds T   duration of the fault phase of a run (8)
+  --entries N   entries per site (3)
+  --jobs N      concurrent runs (1)
 `;
 
 const { values } = parseArgs({
@@ -35,11 +35,11 @@
   },
 });
 
-/** One run to do. */
-type SoakRun = Pick<KeptSeed, "seed" | "kinds">;
+/** Seed and fault kinds of one run. */
+type SoakRun = Pick<RegressionSeed, "seed" | "kinds">;
 
 function listRuns(): SoakRun[] {
-  if (values.kept) return [...KEPT_SEEDS];
+  if (values.kept) return [...REGRESSION_SEEDS];
   const first = values.seed === undefined
     ? Date.now() % 1_000_000_000
     : Number(values.seed);
@@ -64,12 +64,12 @@
         entryCount: Number(values.entries),
         folder: join(folder, String(seed)),
       });
-      const { requests, served, faults, broken } = result;
-      if (broken.length > 0) failed++;
+      const { requests, served, faults, violations } = result;
+      if (violations.length > 0) failed++;
       process.stdout.write(
         `seed ${seed}: ${faults} faults, ${served} of ${requests} served, ` +
-          `${broken.length} broken\n` +
-          broken.slice(0, 10).map((line) => `  ${line}\n`).join(""),
+          `${violations.length} violations\n` +
+          violations.slice(0, 10).map((line) => `  ${line}\n`).join(""),
       );
     }
   }
--- a/soak/src/soak_callers.ts
+++ b/soak/src/soak_callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of the soak: they keep connections, repeat as the platform's callers
- * do, and check every answer.
+ * Callers of the soak test. Like the platform's callers, they reuse connections
+ * and use another entry for the next request; they also check every response.
  *
  * @module
  */
@@ -11,63 +11,63 @@
 /** The kinds of requests, by their path. */
 export type RequestKind = "plain" | "once" | "draft";
 
-/** How one attempt ended for its caller. */
-export interface SeenAnswer {
+/** Result of one request as its caller saw it. */
+export interface CallResult {
   id: string;
   kind: RequestKind;
   key: string;
   sentAt: number;
-  /** The caller address of the entry that was asked. */
+  /** The caller address of the entry that received the request. */
   entry: string;
-  /** 0 if the connection ended without an answer. */
+  /** 0 if the connection failed without a response. */
   status: number;
-  /** A broken promise that the answer itself shows. */
-  fault?: string;
+  /** What is wrong with a response that reports success. */
+  defect?: string;
 }
 
 /** Options of {@linkcode createSoakCaller}. */
 export interface SoakCallerOptions {
   /** Caller addresses of all entries, through their proxies. */
   addresses: readonly string[];
-  onAnswer: (answer: SeenAnswer) => void;
+  onResult: (result: CallResult) => void;
 }
 
 /** Sends requests. */
 export interface SoakCaller {
-  call(id: string, kind: RequestKind, key: string): Promise<SeenAnswer>;
+  call(id: string, kind: RequestKind, key: string): Promise<CallResult>;
   close(): Promise<void>;
 }
 
-/** Time that callers give a request. */
-export const CALL_TIME_MS = 2_500;
-/** An answer comes this much after the time at the latest, or never. */
-const GIVE_UP_MS = 1_000;
+/** Deadline that callers set for a request. */
+export const CALL_DEADLINE_MS = 2_500;
+/** Time after the deadline at which a caller gives up on a response. */
+const RESPONSE_GRACE_MS = 1_000;
 
-/** Creates a caller that uses one entry after the other. */
+/** Creates a caller that uses the entries in turn. */
 export function createSoakCaller(
-  { addresses, onAnswer }: SoakCallerOptions,
+  { addresses, onResult }: SoakCallerOptions,
 ): SoakCaller {
   const agent = new Agent({ connections: 4, connectTimeout: 1_000 });
-  let turn = 0;
+  let nextIndex = 0;
 
   async function call(
     id: string,
     kind: RequestKind,
     key: string,
-  ): Promise<SeenAnswer> {
-    const address = addresses[turn++ % addresses.length] ?? "";
+  ): Promise<CallResult> {
+    const address = addresses[nextIndex++ % addresses.length] ?? "";
     const sentAt = Date.now();
-    const seen = { id, kind, key, sentAt, entry: address };
-    const answer = await readAnswer(address, seen);
-    onAnswer(answer);
-    return answer;
+    const sent = { id, kind, key, sentAt, entry: address };
+    const result = await sendRequest(address, sent);
+    onResult(result);
+    return result;
   }
 
-  async function readAnswer(
+  async function sendRequest(
     address: string,
-    seen: Omit<SeenAnswer, "status" | "fault">,
-  ): Promise<SeenAnswer> {
-    const { id, kind, key } = seen;
+    sent: Omit<CallResult, "status" | "defect">,
+  ): Promise<CallResult> {
+    const { id, kind, key } = sent;
     try {
       const { statusCode, headers, body } = await request(
         `http://${address}/${kind}/${id}`,
@@ -78,30 +78,30 @@
             host: "soak.example",
             authorization: `Bearer ${key}`,
             [HEADER.requestId]: id,
-            [HEADER.deadline]: String(CALL_TIME_MS),
+            [HEADER.deadline]: String(CALL_DEADLINE_MS),
             [HEADER.pieceCounts]: "2,1",
             [HEADER.pieceKey]: "abc",
           },
           body: "question",
-          signal: AbortSignal.timeout(CALL_TIME_MS + GIVE_UP_MS),
+          signal: AbortSignal.timeout(CALL_DEADLINE_MS + RESPONSE_GRACE_MS),
         },
       );
       const text = await body.text();
-      const end = { ...seen, status: statusCode };
-      const fault = statusCode === 200
-        ? findFault(seen, { text, proof: String(headers[HEADER.proof]) })
+      const result = { ...sent, status: statusCode };
+      const defect = statusCode === 200
+        ? findDefect(sent, { text, proof: String(headers[HEADER.proof]) })
         : undefined;
-      return fault === undefined ? end : { ...end, fault };
+      return defect === undefined ? result : { ...result, defect };
     } catch {
-      return { ...seen, status: 0 };
+      return { ...sent, status: 0 };
     }
   }
 
   return { call, close: () => agent.destroy() };
 }
 
-/** What is wrong with an answer that claims success and looks whole. */
-export function findFault(
+/** Describes what is wrong with a complete response that reports success. */
+export function findDefect(
   { id, kind }: { id: string; kind: RequestKind },
   { text, proof }: { text: string; proof: string },
 ): string | undefined {
@@ -113,8 +113,8 @@
   const isOrdered = events.every((event, index) =>
     event === `id: ${index + 1}\ndata: ${id}`
   );
-  if (!isOrdered) return "events of another answer, or out of order";
+  if (!isOrdered) return "events of another response, or out of order";
   return events.length === STREAM_EVENTS
     ? undefined
-    : `looks whole with ${events.length} of ${STREAM_EVENTS} events`;
+    : `complete stream with ${events.length} of ${STREAM_EVENTS} events`;
 }
--- a/soak/src/soak_config.ts
+++ b/soak/src/soak_config.ts
@@ -1,16 +1,16 @@
 /**
- * The configuration that the soak publishes.
+ * The configuration that the soak test publishes.
  *
  * @module
  */
 
-/** The account of each key. */
+/** Client accounts by API key. */
 export const ACCOUNTS: ReadonlyMap<string, string> = new Map([
   ["key-1", "one"],
   ["revoked", "two"],
 ]);
 
-/** Requests a second that a cold endpoint bears, but for stage endpoints. */
+/** Requests per second that a cold plain endpoint or engine can handle. */
 export const COLD_RATE = 6;
 
 function createRoute(name: string, change: object) {
@@ -25,7 +25,7 @@
   };
 }
 
-/** A configuration in the platform's form. */
+/** Creates a configuration in the platform's format. */
 export function createSoakConfig(
   version: number,
   { isRevoked }: { isRevoked: boolean },
--- a/soak/src/soak_endpoints.ts
+++ b/soak/src/soak_endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * Endpoints of the soak: plain ones, a stage endpoint and an engine. They write
- * down what ran, from which the promises are checked.
+ * Endpoints of the soak test: plain ones, stage endpoints and an engine. They log
+ * the requests that they run, from which the guarantees are checked.
  *
  * @module
  */
@@ -9,34 +9,34 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { formatEndpointKey } from "@mangoreach/coordination";
 import { HEADER, PATH } from "../../platform/src/wire_names.ts";
-import type { SeenArrival, SoakSignals } from "./endpoint_signals.ts";
-import type { SoakAnswer, SoakServer } from "./soak_server.ts";
-import { readWholeBody, startSoakServer } from "./soak_server.ts";
+import type { ObservedArrival, SoakSignals } from "./endpoint_signals.ts";
+import type { RequestHandler, SoakServer } from "./soak_server.ts";
+import { readCompleteBody, startSoakServer } from "./soak_server.ts";
 
-/** One run of one request at one endpoint. */
-export interface SeenRun {
-  /** Id and start of the endpoint: one that starts again has not left. */
+/** One execution of a request at an endpoint. */
+export interface ObservedRun {
+  /** Endpoint key with the incarnation: a restarted endpoint has not left. */
   endpoint: string;
   account: string | undefined;
   path: string;
   at: number;
 }
 
-/** What all endpoints saw, by request id. */
-export type RunLog = Map<string, SeenRun[]>;
+/** Executions at all endpoints, by request id. */
+export type RunLog = Map<string, ObservedRun[]>;
 
 /** A running endpoint. */
 export interface SoakEndpoint extends SoakServer {
   readonly id: string;
 }
 
-/** Events of a stream; the last one tells that it is whole. */
+/** Events of a complete stream. */
 export const STREAM_EVENTS = 5;
 const EVENT_GAP_MS = 20;
 const WORK_MS = 15;
 const STAGE_CALL_MS = 40;
 
-/** The body that an endpoint answers to a request. */
+/** Computes the response body for a request id. */
 export function computeBody(id: string): string {
   return createHash("sha256").update(id).digest("hex").repeat(4);
 }
@@ -50,9 +50,9 @@
 export interface ServingEndpointOptions {
   startedAt: number;
   runs: RunLog;
-  /** Takes all that reaches the endpoint itself, run or not. */
-  arrivals: SeenArrival[];
-  /** What it says now of the work that it takes. */
+  /** Log of all requests that reach the endpoint, whether run or refused. */
+  arrivals: ObservedArrival[];
+  /** Reads the back-pressure signals to send in the next response. */
   readSignals: () => SoakSignals;
 }
 
@@ -67,25 +67,25 @@
   }
 }
 
-/** Starts an endpoint that answers requests and streams. */
+/** Starts an endpoint that serves plain requests and streams. */
 export async function startServingEndpoint(
   id: string,
   { startedAt, runs, arrivals, readSignals }: ServingEndpointOptions,
 ): Promise<SoakEndpoint> {
   const endpoint = formatEndpointKey({ id, incarnation: String(startedAt) });
 
-  async function answer(
+  async function handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    await readWholeBody(request);
+    await readCompleteBody(request);
     const requestId = readHeader(request, HEADER.requestId) ?? "";
     response.setHeader(HEADER.requestId, requestId);
     if (readHeader(request, HEADER.targetInstance) !== id) {
       return void response.writeHead(421, { [HEADER.notRun]: "1" }).end();
     }
     const signals = readSignals();
-    const arrival: SeenArrival = {
+    const arrival: ObservedArrival = {
       endpoint,
       requestId,
       at: Date.now(),
@@ -94,7 +94,7 @@
     arrivals.push(arrival);
     writeSignals(response, signals);
     if (signals.pause !== undefined) {
-      arrival.answeredAt = Date.now();
+      arrival.respondedAt = Date.now();
       return void response.writeHead(503, { [HEADER.notRun]: "1" }).end();
     }
     const path = request.url ?? "";
@@ -107,7 +107,7 @@
     runs.set(requestId, [...(runs.get(requestId) ?? []), run]);
     response.setHeader(HEADER.proof, computeBody(requestId).slice(0, 16));
     await sleep(WORK_MS);
-    arrival.answeredAt = Date.now();
+    arrival.respondedAt = Date.now();
     if (!path.startsWith("/draft/")) {
       return void response.end(computeBody(requestId));
     }
@@ -118,13 +118,13 @@
     }
     response.end();
   }
-  return await startEndpoint(id, answer);
+  return await startEndpoint(id, handle);
 }
 
-/** Starts an endpoint that makes pieces; results live as long as it does. */
+/** Starts an endpoint that runs pieces; its results exist as long as it does. */
 export async function startStageEndpoint(id: string): Promise<SoakEndpoint> {
   const endpoint = await startEndpoint(id, async (request, response) => {
-    const body = JSON.parse(String(await readWholeBody(request)) || "{}");
+    const body = JSON.parse(String(await readCompleteBody(request)) || "{}");
     if (request.url === PATH.stageFree) return void response.end("{}");
     if (readHeader(request, HEADER.targetInstance) !== id) {
       return void response.writeHead(421, { [HEADER.notRun]: "1" }).end();
@@ -141,8 +141,8 @@
 
 async function startEndpoint(
   id: string,
-  answer: SoakAnswer,
+  handle: RequestHandler,
 ): Promise<SoakEndpoint> {
-  const server = await startSoakServer(answer);
+  const server = await startSoakServer(handle);
   return { id, ...server };
 }
--- a/soak/src/soak_entry.ts
+++ b/soak/src/soak_entry.ts
@@ -1,5 +1,5 @@
 /**
- * The processes under test: how one is set up, started, ended and replaced.
+ * The entry processes under test: configuration, start, stop and replacement.
  *
  * @module
  */
@@ -17,9 +17,9 @@
 } from "./entry_settings.ts";
 import type { FaultProxy } from "./fault_proxy.ts";
 import { startFaultProxy } from "./fault_proxy.ts";
-import type { KeyedStore } from "./keyed_store.ts";
+import type { TopicStore } from "./topic_store.ts";
 
-/** A process under test, with a proxy towards callers and one to the store. */
+/** A process under test with a proxy for callers and one to the store. */
 export interface Entry {
   name: string;
   settingsFile: string;
@@ -31,12 +31,12 @@
 }
 
 const PROGRAM = "target/mangoreach-platform.cjs";
-const START_LIMIT_MS = 15_000;
+const START_TIMEOUT_MS = 15_000;
 
-/** Writes the settings of an entry; starts the proxies before and behind it. */
+/** Writes the settings of an entry and starts its proxies. */
 export async function createEntry(
   name: string,
-  { store, folder }: { store: KeyedStore; folder: string },
+  { store, folder }: { store: TopicStore; folder: string },
 ): Promise<Entry> {
   const ports = await findEntryPorts();
   const storeProxy = await startFaultProxy(store.address);
@@ -59,7 +59,7 @@
   };
 }
 
-/** Starts its process. */
+/** Starts the process of an entry. */
 export function startEntry(entry: Entry): void {
   const child = spawn(process.execPath, [
     "--max-old-space-size=150",
@@ -73,9 +73,9 @@
   entry.child = child;
 }
 
-/** Resolves once it says that it is ready. */
+/** Resolves once the entry reports that it is ready. */
 export async function waitUntilReady({ name, ready }: Entry): Promise<void> {
-  const limit = Date.now() + START_LIMIT_MS;
+  const limit = Date.now() + START_TIMEOUT_MS;
   while (Date.now() < limit) {
     const reply = await fetch(`http://${ready}${PATH.ready}`).catch(() =>
       undefined
@@ -83,10 +83,10 @@
     if (reply?.status === 200) return;
     await sleep(50);
   }
-  throw new Error(`${name} did not get ready`);
+  throw new Error(`${name} was not ready in time`);
 }
 
-/** Ends its process, and starts another after a while. */
+/** Stops the process of an entry and starts another after `duration` ms. */
 export async function replaceEntry(
   entry: Entry,
   signal: "SIGKILL" | "SIGTERM",
--- a/soak/src/soak_plan.ts
+++ b/soak/src/soak_plan.ts
@@ -1,11 +1,11 @@
 /**
- * Which faults happen when in one run of the soak, from its seed alone.
+ * The fault schedule of one soak run, derived from its seed alone.
  *
  * @module
  */
 import { MersenneTwister19937, Random } from "random-js";
 
-/** What goes wrong; all but `key_revoked` and `endpoint_leaves` end by themselves. */
+/** Kinds of injected faults; all except `key_revoked` and `endpoint_leaves` are temporary. */
 export type FaultKind =
   | "entry_killed"
   | "entry_paused"
@@ -21,35 +21,35 @@
   | "endpoint_leaves"
   | "key_revoked"
   | "config_changed"
-  /** An endpoint crashes and starts again under its id. */
+  /** An endpoint crashes and restarts under the same id. */
   | "endpoint_restarted"
-  /** Another writer puts records of its own beside the endpoints'. */
+  /** Another writer adds its own records to the endpoints' topic. */
   | "foreign_records"
-  /** The store is away and comes back from a copy of some seconds before. */
+  /** The store fails, then is restored from a copy that is some seconds old. */
   | "store_from_copy"
-  /** A place is to get nothing new for some seconds. */
+  /** A place is evacuated for some seconds: it must get no new work. */
   | "place_evacuated"
-  /** An endpoint says that it is cold, and bears little. */
+  /** An endpoint reports that it is cold and can handle little load. */
   | "endpoint_cold"
-  /** An endpoint names a limit in its answers. */
+  /** An endpoint reports a rate limit in its responses. */
   | "endpoint_limited"
-  /** An endpoint turns all away and says for how long it wants nothing. */
+  /** An endpoint refuses all requests with a retry-after time. */
   | "endpoint_paused"
-  /** An endpoint says that it leaves in its answers only, and ends later. */
+  /** An endpoint reports only in its responses that it is leaving, and exits later. */
   | "endpoint_says_leaving";
 
-/** One fault. */
+/** One scheduled fault. */
 export interface PlannedFault {
   kind: FaultKind;
   /** Milliseconds after the run's start. */
   at: number;
-  /** How long it lasts, in milliseconds. */
+  /** Duration in milliseconds. */
   duration: number;
-  /** Number of the entry, endpoint or link that it hits, before a modulus. */
+  /** Selects the affected entry, endpoint or link, modulo their number. */
   target: number;
 }
 
-/** Kinds of which the seeds that are kept were planned. */
+/** Kinds of the schedules of the first regression seeds. */
 const FIRST_KINDS: readonly FaultKind[] = [
   "entry_killed",
   "entry_paused",
@@ -66,68 +66,73 @@
   "key_revoked",
   "config_changed",
 ];
-/** Planned apart from the others, so that kept seeds stay what they were. */
-const LATER_KINDS: readonly FaultKind[] = [
+/**
+ * Each added group has its own random sequence, so that the schedules of
+ * existing regression seeds stay the same.
+ */
+const SECOND_KINDS: readonly FaultKind[] = [
   "endpoint_restarted",
   "foreign_records",
 ];
-/** Planned apart again. */
-const NEWEST_KINDS: readonly FaultKind[] = [
+const THIRD_KINDS: readonly FaultKind[] = [
   "store_from_copy",
   "place_evacuated",
   "endpoint_cold",
 ];
-/** Planned apart once more. */
 const SIGNAL_KINDS: readonly FaultKind[] = [
   "endpoint_limited",
   "endpoint_paused",
   "endpoint_says_leaving",
 ];
-const LATER_SEED_OFFSET = 1_000_003;
-const NEWEST_SEED_OFFSET = 2_000_003;
+const SECOND_SEED_OFFSET = 1_000_003;
+const THIRD_SEED_OFFSET = 2_000_003;
 const SIGNAL_SEED_OFFSET = 3_000_003;
-/** Faults come in series: about one each half second, so that they overlap. */
-const MEAN_GAP = 500;
-const LATER_MEAN_GAP = 1_500;
-const NEWEST_MEAN_GAP = 2_000;
+/** One fault per half second on average, so that faults overlap. Milliseconds. */
+const FIRST_MEAN_GAP = 500;
+const SECOND_MEAN_GAP = 1_500;
+const THIRD_MEAN_GAP = 2_000;
 const SIGNAL_MEAN_GAP = 1_500;
-const SHORTEST = 200;
-const LONGEST = 1_800;
+const MIN_DURATION = 200;
+const MAX_DURATION = 1_800;
 /** Kinds that must not happen twice: there is one key and one spare endpoint. */
-const ONCE: ReadonlySet<FaultKind> = new Set([
+const ONCE_PER_RUN: ReadonlySet<FaultKind> = new Set([
   "key_revoked",
   "endpoint_leaves",
   "place_evacuated",
   "endpoint_says_leaving",
 ]);
 
-/** Which kinds of faults a run has. */
-export type SoakKinds = "first" | "second" | "third" | "all";
+/** The groups of fault kinds that a run includes. */
+export type FaultKindSet = "first" | "second" | "third" | "all";
 
-/** Plans the faults of a run, in order of time. */
+/** Creates the fault schedule of a run, ordered by time. */
 export function createSoakPlan(
   seed: number,
   length: number,
-  { kinds = "all" }: { kinds?: SoakKinds } = {},
+  { kinds = "all" }: { kinds?: FaultKindSet } = {},
 ): PlannedFault[] {
-  const first = planKinds(FIRST_KINDS, { seed, length, meanGap: MEAN_GAP });
+  const first = planKinds(FIRST_KINDS, {
+    seed,
+    length,
+    meanGap: FIRST_MEAN_GAP,
+  });
   if (kinds === "first") return first;
-  const later = planKinds(LATER_KINDS, {
-    seed: seed + LATER_SEED_OFFSET,
+  const second = planKinds(SECOND_KINDS, {
+    seed: seed + SECOND_SEED_OFFSET,
     length,
-    meanGap: LATER_MEAN_GAP,
+    meanGap: SECOND_MEAN_GAP,
   });
-  const newest = kinds === "second" ? [] : planKinds(NEWEST_KINDS, {
-    seed: seed + NEWEST_SEED_OFFSET,
+  const third = kinds === "second" ? [] : planKinds(THIRD_KINDS, {
+    seed: seed + THIRD_SEED_OFFSET,
     length,
-    meanGap: NEWEST_MEAN_GAP,
+    meanGap: THIRD_MEAN_GAP,
   });
   const signals = kinds !== "all" ? [] : planKinds(SIGNAL_KINDS, {
     seed: seed + SIGNAL_SEED_OFFSET,
     length,
     meanGap: SIGNAL_MEAN_GAP,
   });
-  return [...first, ...later, ...newest, ...signals]
+  return [...first, ...second, ...third, ...signals]
     .sort((a, b) => a.at - b.at);
 }
 
@@ -141,11 +146,11 @@
   let at = 0;
   for (;;) {
     at += random.integer(1, 2 * meanGap);
-    const duration = random.integer(SHORTEST, LONGEST);
+    const duration = random.integer(MIN_DURATION, MAX_DURATION);
     const kind = random.pick([...kinds]);
     const target = random.integer(0, 1_000);
     if (at + duration >= length) return faults;
-    if (ONCE.has(kind) && seen.has(kind)) continue;
+    if (ONCE_PER_RUN.has(kind) && seen.has(kind)) continue;
     seen.add(kind);
     faults.push({ kind, at, duration, target });
   }
--- a/soak/src/soak_plan_test.ts
+++ b/soak/src/soak_plan_test.ts
@@ -7,7 +7,7 @@
   return plan.some(({ kind, at }) => kind === fault.kind && at === fault.at);
 }
 
-describe("plan of a soak run", () => {
+describe("fault schedule of a soak run", () => {
   it("is the same for the same seed", () => {
     expect(createSoakPlan(7, 8_000)).to.deep.equal(createSoakPlan(7, 8_000));
     expect(createSoakPlan(7, 8_000)).not.to.deep.equal(
@@ -15,7 +15,7 @@
     );
   });
 
-  it("ends all faults within the run, in order, some at a time", () => {
+  it("ends all faults within the run and orders them by time", () => {
     fc.assert(fc.property(fc.integer({ min: 0, max: 1e9 }), (seed) => {
       const plan = createSoakPlan(seed, 8_000);
       const starts = plan.map(({ at }) => at);
@@ -30,9 +30,9 @@
     }));
   });
 
-  // A seed that failed once is kept as it was: kinds that came later must not
-  // change what it plays.
-  it("keeps the plan of the first kinds whatever is added", () => {
+  // Regression seeds must keep their schedules: added fault kinds must not change
+  // the faults of an existing seed.
+  it("keeps the schedule of the first kinds when kinds are added", () => {
     const first = createSoakPlan(1_007, 8_000, { kinds: "first" });
     expect(first.length).to.equal(14);
     expect(first[0]).to.deep.equal({
--- a/soak/src/soak_run.ts
+++ b/soak/src/soak_run.ts
@@ -1,96 +1,100 @@
 /**
- * One run of the soak: a site, callers and faults, and what broke.
+ * One soak run: starts a site, sends requests, injects faults and reports
+ * violated guarantees.
  *
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { listIgnoredSignals } from "./endpoint_signals.ts";
-import { listBroken } from "./promises.ts";
-import type { RequestKind, SeenAnswer } from "./soak_callers.ts";
-import { CALL_TIME_MS, createSoakCaller } from "./soak_callers.ts";
+import { listViolations } from "./guarantees.ts";
+import type { CallResult, RequestKind } from "./soak_callers.ts";
+import { CALL_DEADLINE_MS, createSoakCaller } from "./soak_callers.ts";
 import { ACCOUNTS } from "./soak_config.ts";
-import type { SoakKinds } from "./soak_plan.ts";
+import type { FaultKindSet } from "./soak_plan.ts";
 import { createSoakPlan } from "./soak_plan.ts";
 import { startSoakSite } from "./soak_site.ts";
 
 /** Options of {@linkcode runSoak}. */
 export interface SoakOptions {
   seed: number;
-  kinds: SoakKinds;
-  /** Time with faults, in milliseconds. */
+  kinds: FaultKindSet;
+  /** Duration of the fault phase in milliseconds. */
   length: number;
   entryCount: number;
-  /** Settings and logs of the entries go here. */
+  /** Directory for the settings and logs of the entries. */
   folder: string;
 }
 
-/** What one run showed. */
+/** Result of one run. */
 export interface SoakResult {
   seed: number;
   requests: number;
   served: number;
   faults: number;
-  broken: string[];
+  violations: string[];
 }
 
 const KINDS: readonly RequestKind[] = ["plain", "once", "draft"];
 const REQUEST_GAP_MS = 25;
-/** Stopping entries and leaving endpoints take up to this after the last fault. */
-const HEAL_MS = 11_000;
-/** Requests after everything has healed. */
-const CALM_MS = 2_500;
-/** The revoked key is used by one request in so many. */
-const REVOKED_EVERY = 5;
+/** Maximum time after the last fault for entries to stop and endpoints to leave. */
+const RECOVERY_MS = 11_000;
+/** Duration of the request load after recovery. */
+const AFTER_RECOVERY_MS = 2_500;
+/** Every n-th request uses the key that gets revoked. */
+const REVOKED_KEY_INTERVAL = 5;
 
-/** Runs one seed to its end. */
+/** Runs one seed to completion. */
 export async function runSoak(
   { seed, kinds, length, entryCount, folder }: SoakOptions,
 ): Promise<SoakResult> {
   const plan = createSoakPlan(seed, length, { kinds });
   const site = await startSoakSite({ entryCount, folder });
-  const answers: SeenAnswer[] = [];
+  const results: CallResult[] = [];
   const caller = createSoakCaller({
     addresses: site.callerAddresses,
-    onAnswer: (answer) => answers.push(answer),
+    onResult: (result) => results.push(result),
   });
   const startedAt = Date.now();
   const faults = plan.map(async (fault) => {
     await sleep(fault.at);
     await site.applyFault(fault);
   });
-  const healed = Promise.race([Promise.all(faults), sleep(length + HEAL_MS)]);
-  let calmFrom = Infinity;
-  void healed.then(() => sleep(1_500)).then(() => calmFrom = Date.now());
+  const recovered = Promise.race([
+    Promise.all(faults),
+    sleep(length + RECOVERY_MS),
+  ]);
+  let recoveredAt = Infinity;
+  void recovered.then(() => sleep(1_500)).then(() => recoveredAt = Date.now());
 
   const pending: Promise<unknown>[] = [];
-  for (let count = 0; Date.now() < calmFrom + CALM_MS; count++) {
+  for (let count = 0; Date.now() < recoveredAt + AFTER_RECOVERY_MS; count++) {
     const kind = KINDS[count % KINDS.length]!;
-    const key = count % REVOKED_EVERY === 0 ? "revoked" : "key-1";
+    const key = count % REVOKED_KEY_INTERVAL === 0 ? "revoked" : "key-1";
     pending.push(caller.call(`${seed}-${count}-${startedAt}`, kind, key));
     await sleep(REQUEST_GAP_MS);
   }
-  await Promise.race([Promise.all(pending), sleep(2 * CALL_TIME_MS)]);
-  const broken = listBroken(answers, site.runs, {
+  await Promise.race([Promise.all(pending), sleep(2 * CALL_DEADLINE_MS)]);
+  const violations = listViolations(results, site.runs, {
     revokedAt: site.revokedAt,
     leftAt: site.leftAt,
     coldSpans: site.coldSpans,
     evacuations: site.evacuations,
-    calmFrom,
+    recoveredAt,
     accounts: ACCOUNTS,
   });
   const requests = new Map(
-    answers.map(({ id, entry, sentAt }) => [id, { entry, sentAt }]),
+    results.map(({ id, entry, sentAt }) => [id, { entry, sentAt }]),
   );
-  const { arrivals, harmed } = site;
-  broken.push(...listIgnoredSignals(arrivals, { requests, harmed }));
+  const { arrivals, entryFaults } = site;
+  violations.push(...listIgnoredSignals(arrivals, { requests, entryFaults }));
   await caller.close();
   await site.stop();
-  const served = answers.filter(({ status }) => status === 200).length;
+  const served = results.filter(({ status }) => status === 200).length;
   return {
     seed,
-    requests: answers.length,
+    requests: results.length,
     served,
     faults: plan.length,
-    broken,
+    violations,
   };
 }
--- a/soak/src/soak_server.ts
+++ b/soak/src/soak_server.ts
@@ -1,5 +1,5 @@
 /**
- * What the soak's stand-ins share: a server on loopback.
+ * The loopback HTTP server that the stand-ins of the soak test share.
  *
  * @module
  */
@@ -11,17 +11,17 @@
 export interface SoakServer {
   /** `ip:port`. */
   readonly address: string;
-  /** Ends all connections and takes no new ones. */
+  /** Closes all connections and stops listening. */
   close(): void;
 }
 
-/** Answers one request; after a fault its connection is ended. */
-export type SoakAnswer = (
+/** Handles one request; its connection is destroyed on an error. */
+export type RequestHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => Promise<void>;
 
-/** Wide: what the program does must not be hidden by a limit of the stand-in. */
+/** High, so that limits of the stand-in do not hide faults of the program. */
 const LIMITS = {
   maxHeaderBytes: 65_536,
   requestTimeoutMs: 60_000,
@@ -30,10 +30,12 @@
 const MAX_BODY_BYTES = 1_000_000;
 
 /** Starts a server on a free port. */
-export async function startSoakServer(answer: SoakAnswer): Promise<SoakServer> {
+export async function startSoakServer(
+  handle: RequestHandler,
+): Promise<SoakServer> {
   const server = await startServer((request, response) => {
-    // A caller that is gone ends the answer; there is nobody to tell.
-    answer(request, response).catch(() => response.destroy());
+    // Fails when the caller disconnects, so no error response is sent.
+    handle(request, response).catch(() => response.destroy());
   }, { address: { host: "127.0.0.1", port: 0 }, limits: LIMITS });
   return {
     address: readServerAddress(server),
@@ -44,9 +46,11 @@
   };
 }
 
-/** The whole body of a request. */
-export async function readWholeBody(request: IncomingMessage): Promise<Buffer> {
+/** Reads the complete body of a request. */
+export async function readCompleteBody(
+  request: IncomingMessage,
+): Promise<Buffer> {
   const read = await readBody(request, MAX_BODY_BYTES);
-  if (read.kind !== "whole") throw new Error("the body is not whole");
+  if (read.kind !== "whole") throw new Error("request body incomplete");
   return read.body;
 }
--- a/soak/src/soak_site.ts
+++ b/soak/src/soak_site.ts
@@ -1,5 +1,5 @@
 /**
- * The processes and stand-ins of one run of the soak, and how faults reach them.
+ * The processes and stand-ins of one soak run, and the injection of faults.
  *
  * @module
  */
@@ -11,12 +11,12 @@
   TOPIC,
 } from "../../platform/src/wire_names.ts";
 import type { EndpointSlot } from "./endpoint_slot.ts";
-import { FAR_PLACE, startEndpoints } from "./endpoint_slot.ts";
-import type { HarmedSpan, SeenArrival } from "./endpoint_signals.ts";
+import { EVACUATED_PLACE, startEndpoints } from "./endpoint_slot.ts";
+import type { EntryFaultSpan, ObservedArrival } from "./endpoint_signals.ts";
 import type { FaultProxy, ProxyMode } from "./fault_proxy.ts";
-import type { KeyedStore, StoreMode } from "./keyed_store.ts";
-import { startKeyedStore } from "./keyed_store.ts";
-import type { KeyedSpan } from "./promises.ts";
+import type { StoreMode, TopicStore } from "./topic_store.ts";
+import { startTopicStore } from "./topic_store.ts";
+import type { EndpointSpan } from "./guarantees.ts";
 import { createSoakConfig } from "./soak_config.ts";
 import type { RunLog } from "./soak_endpoints.ts";
 import type { Entry } from "./soak_entry.ts";
@@ -30,36 +30,36 @@
 
 /** A running site. */
 export interface SoakSite {
-  /** Where callers connect: a proxy before each entry. */
+  /** Addresses for callers: a proxy in front of each entry. */
   readonly callerAddresses: readonly string[];
   readonly runs: RunLog;
-  /** All that reached plain endpoints and engines. */
-  readonly arrivals: readonly SeenArrival[];
-  readonly harmed: readonly HarmedSpan[];
+  /** All requests that reached plain endpoints and engines. */
+  readonly arrivals: readonly ObservedArrival[];
+  readonly entryFaults: readonly EntryFaultSpan[];
   readonly revokedAt: number | undefined;
   readonly leftAt: ReadonlyMap<string, number>;
-  readonly coldSpans: readonly KeyedSpan[];
-  readonly evacuations: readonly KeyedSpan[];
-  /** Harms the site and heals it again. */
+  readonly coldSpans: readonly EndpointSpan[];
+  readonly evacuations: readonly EndpointSpan[];
+  /** Injects a fault; resolves once it has ended. */
   applyFault(fault: PlannedFault): Promise<void>;
-  /** Ends all that was started here. */
+  /** Stops all processes, proxies and stand-ins of the site. */
   stop(): Promise<void>;
 }
 
-/** The copy is older than the store's absence by this. */
+/** Time between the copy and the start of the store's outage. */
 const COPY_AGE_MS = 1_500;
-/** So much longer than the bound on new work for an evacuated place. */
+/** Exceeds the time limit after which an evacuated place gets no new work. */
 const EVACUATION_MS = 5_500;
-/** So much longer than the word of a cold endpoint takes. */
+/** Exceeds the time in which entries learn that an endpoint is cold. */
 const COLD_MS = 2_500;
-/** Below what its callers want of an endpoint, in requests a second. */
+/** Below the load that callers offer to an endpoint, in requests per second. */
 const LIMIT = 4;
-/** A limit must be kept after 3 s; it is counted for some seconds more. */
+/** A limit must be respected after 3 s; arrivals are counted for longer. */
 const LIMITED_MS = 5_000;
 const PAUSE_MS = 1_500;
-/** Longer than what may still reach an endpoint that leaves. */
+/** Exceeds the time in which requests may still reach a leaving endpoint. */
 const LEAVING_MS = 3_500;
-/** An entry that is stopped takes up to so long until the next has started. */
+/** Maximum time from stopping an entry until its replacement has started. */
 const STOP_TIME_MS = 9_000;
 
 const STOP_SIGNALS = {
@@ -77,18 +77,18 @@
   link_silent: "silent",
 } as const;
 
-/** Starts a site of some entries; resolves once all are ready. */
+/** Starts a site; resolves once all entries are ready. */
 export async function startSoakSite(
   { entryCount, folder }: { entryCount: number; folder: string },
 ): Promise<SoakSite> {
   mkdirSync(folder, { recursive: true });
   const runs: RunLog = new Map();
-  const arrivals: SeenArrival[] = [];
-  const harmed: HarmedSpan[] = [];
+  const arrivals: ObservedArrival[] = [];
+  const entryFaults: EntryFaultSpan[] = [];
   const leftAt = new Map<string, number>();
-  const coldSpans: KeyedSpan[] = [];
-  const evacuations: KeyedSpan[] = [];
-  const store = await startKeyedStore();
+  const coldSpans: EndpointSpan[] = [];
+  const evacuations: EndpointSpan[] = [];
+  const store = await startTopicStore();
   let version = 1;
   let revokedAt: number | undefined;
   const publish = () =>
@@ -107,7 +107,7 @@
   try {
     await Promise.all(entries.map(waitUntilReady));
   } catch (error) {
-    // Its processes would go on when nobody knows of them any more.
+    // The caller gets no handle to stop these processes.
     await stop();
     throw error;
   }
@@ -117,10 +117,10 @@
     const link = endpoints[fault.target % endpoints.length]!;
     const proxies = [entry.callerProxy, entry.storeProxy, link.proxy];
     const proxy = proxies[fault.target % proxies.length]!;
-    const speakers = endpoints.filter(({ pool }) => pool !== "stage");
-    const speaker = speakers[fault.target % speakers.length]!;
+    const reporters = endpoints.filter(({ pool }) => pool !== "stage");
+    const reporter = reporters[fault.target % reporters.length]!;
     const { kind, duration } = fault;
-    noteHarm(fault, { entry, proxy });
+    recordEntryFault(fault, { entry, proxy });
     switch (kind) {
       case "entry_killed":
       case "entry_stopped":
@@ -134,7 +134,7 @@
       case "store_slow":
         return await runStoreFault(store, STORE_MODES[kind], duration);
       case "link_reset":
-        return proxy.dropAll();
+        return proxy.resetAll();
       case "link_delayed":
       case "link_one_way":
       case "link_silent":
@@ -142,11 +142,14 @@
       case "endpoint_killed":
         return await link.replace(duration);
       case "endpoint_limited":
-        return await speaker.say({ limit: LIMIT }, LIMITED_MS + duration);
+        return await reporter.sendSignals(
+          { limit: LIMIT },
+          LIMITED_MS + duration,
+        );
       case "endpoint_paused":
-        return await speaker.say({ pause: PAUSE_MS }, duration);
+        return await reporter.sendSignals({ pause: PAUSE_MS }, duration);
       case "endpoint_says_leaving":
-        return await speaker.sayLeaving(LEAVING_MS + duration);
+        return await reporter.signalLeaving(LEAVING_MS + duration);
       case "endpoint_leaves":
         leftAt.set(link.readKey(), Date.now());
         return await link.leave();
@@ -158,7 +161,7 @@
       case "place_evacuated":
         return await runEvacuation(EVACUATION_MS + duration);
       case "endpoint_cold":
-        return await runColdSpell(link, COLD_MS + duration);
+        return await runColdPeriod(link, COLD_MS + duration);
       case "foreign_records":
         return writeForeignRecords(store, fault.target);
       case "key_revoked":
@@ -171,28 +174,28 @@
     }
   }
 
-  /** A link to an endpoint holds up what all entries send there. */
-  function noteHarm(
+  /** A fault of a link to an endpoint delays the requests of all entries to it. */
+  function recordEntryFault(
     { kind, duration }: PlannedFault,
     { entry, proxy }: { entry: Entry; proxy: FaultProxy },
   ): void {
     const from = Date.now();
-    const isOfEntry = kind.startsWith("entry_");
-    if (!isOfEntry && !kind.startsWith("link_")) return;
+    const isEntryFault = kind.startsWith("entry_");
+    if (!isEntryFault && !kind.startsWith("link_")) return;
     const isOwnLink = proxy === entry.callerProxy || proxy === entry.storeProxy;
-    const hit = isOfEntry || isOwnLink ? [entry] : entries;
-    harmed.push(...hit.map(({ callerProxy }) => ({
+    const affected = isEntryFault || isOwnLink ? [entry] : entries;
+    entryFaults.push(...affected.map(({ callerProxy }) => ({
       entry: callerProxy.address,
-      kind: isOfEntry ? "stopped" as const : "cut" as const,
+      kind: isEntryFault ? "stopped" as const : "cut" as const,
       from,
-      until: from + duration + (isOfEntry ? STOP_TIME_MS : 0),
+      until: from + duration + (isEntryFault ? STOP_TIME_MS : 0),
     })));
   }
 
   async function runEvacuation(duration: number): Promise<void> {
-    const mark = formatEvacuationKey(FAR_PLACE);
+    const mark = formatEvacuationKey(EVACUATED_PLACE);
     const from = Date.now();
-    const spans = endpoints.filter(({ place }) => place === FAR_PLACE)
+    const spans = endpoints.filter(({ place }) => place === EVACUATED_PLACE)
       .map((slot) => ({
         endpoint: slot.readKey(),
         from,
@@ -204,14 +207,14 @@
     store.put(TOPIC.operators, mark, undefined);
   }
 
-  async function runColdSpell(
+  async function runColdPeriod(
     slot: EndpointSlot,
     duration: number,
   ): Promise<void> {
     const endpoint = slot.readKey();
     const from = Date.now();
     coldSpans.push({ endpoint, from, until: from + duration });
-    await slot.turnCold(duration);
+    await slot.runCold(duration);
   }
 
   async function stop(): Promise<void> {
@@ -229,7 +232,7 @@
     callerAddresses: entries.map(({ callerProxy }) => callerProxy.address),
     runs,
     arrivals,
-    harmed,
+    entryFaults,
     get revokedAt() {
       return revokedAt;
     },
@@ -241,13 +244,13 @@
   };
 }
 
-/** What another writer puts beside the endpoints' records. */
-function writeForeignRecords(store: KeyedStore, number: number): void {
-  const whole = { service: "plain", zone: "z", state: "ready" };
+/** Writes invalid records to the endpoints' topic, as a foreign writer would. */
+function writeForeignRecords(store: TopicStore, number: number): void {
+  const complete = { service: "plain", zone: "z", state: "ready" };
   const contents = [
-    { ...whole },
-    { ...whole, address: number },
-    { ...whole, address: "127.0.0.1:1", state: "warming" },
+    { ...complete },
+    { ...complete, address: number },
+    { ...complete, address: "127.0.0.1:1", state: "warming" },
     [number],
   ];
   contents.forEach((content, index) =>
@@ -257,7 +260,7 @@
 }
 
 async function runStoreFault(
-  store: KeyedStore,
+  store: TopicStore,
   mode: StoreMode,
   duration: number,
 ): Promise<void> {
@@ -274,6 +277,6 @@
   proxy.setMode(mode);
   await sleep(duration);
   proxy.setMode("passing");
-  // Bytes are lost in between: what is open would wait for ever.
-  if (mode !== "delayed") proxy.dropAll();
+  // Bytes were dropped, so open connections would wait forever.
+  if (mode !== "delayed") proxy.resetAll();
 }
--- a/soak/src/keyed_store.ts
+++ b/soak/src/topic_store.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in of the platform's store: keyed topics, long polls, and outages.
+ * A stand-in for the platform's store: compacted topics, long polls and outages.
  *
  * @module
  */
@@ -10,29 +10,29 @@
   encodeRecord,
 } from "../../platform/src/store_client.ts";
 import { HEADER, PATH, TOPIC } from "../../platform/src/wire_names.ts";
-import { readWholeBody, startSoakServer } from "./soak_server.ts";
+import { readCompleteBody, startSoakServer } from "./soak_server.ts";
 
 /** How the store behaves. */
 export type StoreMode = "good" | "silent" | "failing" | "slow";
 
 /** A running store. */
-export interface KeyedStore {
+export interface TopicStore {
   readonly address: string;
   setMode(mode: StoreMode): void;
-  /** Writes a record; without a value the key is dropped. */
+  /** Writes a record; without a value the key is removed. */
   put(topic: string, key: string, value: object | undefined): void;
   /**
-   * Comes back from a copy of itself as it was `age` milliseconds before; what
-   * operators wrote since is written again soon.
+   * Restores a copy that is `age` milliseconds old. Records that operators wrote
+   * since are rewritten shortly afterwards.
    */
   restore(age: number): void;
-  /** Writes a record whose key says that it is longer than the record. */
+  /** Writes a malformed record: its key length exceeds the record. */
   putUnreadable(topic: string): void;
   close(): void;
 }
 
 interface StoredRecord {
-  /** As it goes over the wire. */
+  /** Encoded as on the wire. */
   bytes: Buffer;
   key: string;
   value: string | undefined;
@@ -46,14 +46,14 @@
 }
 
 const SLOW_MS = 300;
-/** Operators notice that what they wrote is gone. */
+/** Delay after which operators rewrite records lost in a restore. */
 const REWRITE_MS = 500;
 const HEAD_BYTES = 16;
-/** Two bytes of content, of which the first says that the key has nine. */
+/** Two bytes of content, the first of which gives a key length of nine. */
 const UNREADABLE_RECORD = Buffer.from([0, 0, 0, 2, 9, 1]);
 
 /** Starts an empty store. */
-export async function startKeyedStore(): Promise<KeyedStore> {
+export async function startTopicStore(): Promise<TopicStore> {
   const topics = new Map<string, Topic>();
   let mode: StoreMode = "good";
   let era = 0;
@@ -78,10 +78,10 @@
   function append(topic: Topic, record: StoredRecord): void {
     topic.records.push(record);
     applyRecord(topic, record);
-    releaseAskers(topic);
+    notifyWaiting(topic);
   }
 
-  function releaseAskers({ waiting }: Topic): void {
+  function notifyWaiting({ waiting }: Topic): void {
     for (const wake of [...waiting]) wake();
   }
 
@@ -90,7 +90,7 @@
     else newest.set(key, value);
   }
 
-  function replaceByCopy(age: number): void {
+  function restoreCopy(age: number): void {
     era++;
     const copiedAt = Date.now() - age;
     for (const [name, topic] of topics) {
@@ -103,13 +103,13 @@
       );
       topic.newest.clear();
       topic.records.forEach((record) => applyRecord(topic, record));
-      releaseAskers(topic);
-      if (name === TOPIC.operators) writeAgainLater(name, lost);
+      notifyWaiting(topic);
+      if (name === TOPIC.operators) scheduleRewrite(name, lost);
     }
   }
 
-  /** Nobody writes an old word again over a newer one. */
-  function writeAgainLater(name: string, lost: readonly StoredRecord[]): void {
+  /** Rewrites lost records, except those whose key has a newer record. */
+  function scheduleRewrite(name: string, lost: readonly StoredRecord[]): void {
     const restoredAt = Date.now();
     setTimeout(() => {
       const newer = findTopic(name).records
@@ -120,23 +120,23 @@
     }, REWRITE_MS);
   }
 
-  /** As of the answer: a call may have waited for longer than an era. */
-  function noteEra(response: ServerResponse): void {
+  /** Set when the response is sent, because the era may change during a long poll. */
+  function setEraHeader(response: ServerResponse): void {
     response.setHeader(HEADER.storeEra, String(era));
   }
 
-  function sendNewest(topic: Topic, response: ServerResponse): void {
+  function sendSnapshot(topic: Topic, response: ServerResponse): void {
     const items = [...topic.newest].map(([key, value], offset) => ({
       key,
       value: Buffer.from(value).toString("base64"),
       offset,
     }));
     const end = topic.records.length;
-    noteEra(response);
+    setEraHeader(response);
     response.end(JSON.stringify({ items, hasMore: false, end }));
   }
 
-  async function sendFrom(
+  async function sendRecords(
     topic: Topic,
     { from, wait }: { from: number; wait: number },
     response: ServerResponse,
@@ -152,7 +152,7 @@
         topic.waiting.add(wake);
       });
     }
-    noteEra(response);
+    setEraHeader(response);
     if (from > topic.records.length) {
       return void response.writeHead(410).end("{}");
     }
@@ -160,21 +160,21 @@
     response.end(Buffer.concat([Buffer.alloc(HEAD_BYTES), ...records]));
   }
 
-  async function takeAppend(
+  async function handleAppend(
     name: string,
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const appended = await readWholeBody(request);
-    const reading = Buffer.concat([Buffer.alloc(HEAD_BYTES), appended]);
-    const records = decodeRecords(reading) ?? [];
+    const appended = await readCompleteBody(request);
+    const encoded = Buffer.concat([Buffer.alloc(HEAD_BYTES), appended]);
+    const records = decodeRecords(encoded) ?? [];
     records.forEach(({ key, value }) => write(name, key, value));
     const end = findTopic(name).records.length;
-    noteEra(response);
+    setEraHeader(response);
     response.end(JSON.stringify({ offset: end - records.length, end }));
   }
 
-  async function answer(
+  async function handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -186,20 +186,20 @@
     const url = new URL(request.url ?? "", "http://store");
     const name = url.searchParams.get("topic") ?? "";
     if (url.pathname === PATH.logNewest) {
-      return sendNewest(findTopic(name), response);
+      return sendSnapshot(findTopic(name), response);
     }
     if (url.pathname === PATH.logRead) {
       const read = (field: string) => Number(url.searchParams.get(field) ?? 0);
-      // As the platform's: whole milliseconds, or no wait at all.
-      const asked = read("waitMs");
-      const wait = Number.isInteger(asked) ? asked : 0;
-      const question = { from: read("from"), wait };
-      return await sendFrom(findTopic(name), question, response);
+      // Like the platform, accepts only whole milliseconds and otherwise does not wait.
+      const requestedWait = read("waitMs");
+      const wait = Number.isInteger(requestedWait) ? requestedWait : 0;
+      const range = { from: read("from"), wait };
+      return await sendRecords(findTopic(name), range, response);
     }
-    await takeAppend(name, request, response);
+    await handleAppend(name, request, response);
   }
 
-  const server = await startSoakServer(answer);
+  const server = await startSoakServer(handle);
 
   return {
     address: server.address,
@@ -212,7 +212,7 @@
         key,
         value === undefined ? undefined : JSON.stringify(value),
       ),
-    restore: replaceByCopy,
+    restore: restoreCopy,
     putUnreadable: (topic) =>
       append(findTopic(topic), {
         bytes: UNREADABLE_RECORD,
