--- a/scripts/build_platform.ts
+++ b/scripts/build_platform.ts
@@ -1,6 +1,6 @@
 /**
- * Bundles the program for the users' platform into target/, with its code
- * compiled ahead of its start.
+ * Bundles the program for the users' platform into target/ and writes a V8 code
+ * cache for it.
  *
  * @module
  */
@@ -16,8 +16,8 @@
 const COMPILED = `${NAME}.compiled`;
 
 /**
- * The flags of Node.js with which the program will run: code that was compiled
- * with others is refused.
+ * Reads the Node.js flags that the program will run with: V8 rejects a code cache
+ * that was created with other flags.
  */
 function readFlags(): string[] {
   const deploy = readFileSync("deploy/system.toml", "utf8");
@@ -27,7 +27,7 @@
 
 await build({
   ...BUNDLE_OPTIONS,
-  // Code compiled ahead can be loaded as a script, not as a module.
+  // A code cache can be loaded for a script, but not for a module.
   format: "cjs",
   banner: {},
   outExtension: {},
@@ -43,4 +43,4 @@
   [...readFlags(), "scripts/compile_bundle.cjs", BUNDLE, COMPILED],
   { stdio: ["ignore", "ignore", "inherit"] },
 );
-if (compiled.status !== 0) throw new Error("the bundle could not be compiled");
+if (compiled.status !== 0) throw new Error("compiling the bundle failed");
--- a/scripts/check_names.ts
+++ b/scripts/check_names.ts
@@ -1,5 +1,5 @@
 /**
- * Checks that functions begin with a verb of docs/NAMES.md.
+ * Checks that function names begin with a verb listed in docs/NAMES.md.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import process from "node:process";
 import ts from "typescript";
 
-const LIST = "docs/NAMES.md";
+const VERB_LIST = "docs/NAMES.md";
 const FOLDERS = [
   "packages",
   "platform/src",
@@ -17,9 +17,9 @@
   "scripts",
 ];
 
-/** Reads the verbs: the first word in code quotes of each table row. */
+/** Reads the verbs: the code-quoted word at the start of each table row. */
 function readVerbs(): Set<string> {
-  const rows = readFileSync(LIST, "utf8").split("\n");
+  const rows = readFileSync(VERB_LIST, "utf8").split("\n");
   return new Set(
     rows.flatMap((row) => /^\| `([a-z]+)`/.exec(row)?.[1] ?? []),
   );
@@ -47,15 +47,17 @@
 }
 
 const verbs = readVerbs();
-let faults = 0;
+let violations = 0;
 for (const file of listFiles()) {
   for (const name of listFunctionNames(file)) {
     if (verbs.has(readFirstWord(name))) continue;
-    faults++;
-    process.stdout.write(`${file}: ${name} begins with no verb of ${LIST}\n`);
+    violations++;
+    process.stdout.write(
+      `${file}: ${name} begins with no verb of ${VERB_LIST}\n`,
+    );
   }
 }
-process.exitCode = faults === 0 ? 0 : 1;
+process.exitCode = violations === 0 ? 0 : 1;
 
 function listFiles(): string[] {
   return FOLDERS
--- a/scripts/compile_bundle.cjs
+++ b/scripts/compile_bundle.cjs
@@ -1,6 +1,6 @@
 /**
- * Writes what the launcher needs to start a bundle without compiling it: the
- * compiled code of all that runs while the program loads.
+ * Writes the V8 code cache with which the launcher starts a bundle without
+ * compiling it. It covers all code that runs while the program loads.
  */
 "use strict";
 
@@ -14,7 +14,7 @@
   filename: bundle,
 });
 process.on("exit", () => writeFileSync(target, script.createCachedData()));
-// The program loads all its modules, and ends.
+// With --version the program loads all its modules and exits.
 process.argv = [process.execPath, bundle, "--version"];
 const run = script.runInThisContext();
 run.call(exports, exports, require, module, bundle, dirname(bundle));
--- a/scripts/guards.ts
+++ b/scripts/guards.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run guards`: takes each guard out of the code, one at a time, puts it back
- * after its tests have run without it, and reports whether they failed. A test that
- * passes without its guard proves nothing.
+ * `npm run guards`: mutation testing of safety checks. Removes each guard from the
+ * code, one at a time, runs its tests, restores it and reports whether a test
+ * failed. Tests that pass without the guard do not cover it.
  *
  * @module
  */
@@ -9,14 +9,15 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import process from "node:process";
 
-/** A guard, how to take it out, and the test that must notice. */
+/** A guard, the mutation that disables it, and the tests that must fail then. */
 interface Guard {
   name: string;
   file: string;
-  /** Text of the guard, which must stand in the file once. */
+  /** Source text of the guard, which must occur exactly once in the file. */
   text: string;
+  /** Text that replaces it. */
   without: string;
-  /** Part of the titles of the tests to run. */
+  /** Pattern that matches the titles of the tests to run. */
   test: string;
 }
 
@@ -39,7 +40,7 @@
     test: "ignores a copy that arrives late",
   },
   {
-    name: "publishes wait for a base",
+    name: "publishes wait until a base covers the gap",
     file: `${COORDINATION}/config_fold.ts`,
     text:
       "if (gapBefore === undefined) return applyPublish({ record, offset });",
@@ -47,7 +48,7 @@
     test: "does not decide",
   },
   {
-    name: "a lapsed lease cannot be renewed",
+    name: "an expired lease cannot be renewed",
     file: `${COORDINATION}/lease.ts`,
     text: 'if (!isHolder || at.time > current.expiresAt) return "refused";',
     without: 'if (!isHolder) return "refused";',
@@ -62,7 +63,7 @@
       "counts a claim once|separates accounts|distinguishes accounts|lets the first in log order",
   },
   {
-    name: "ids too old for the claims are refused",
+    name: "ids older than the stored claims are refused",
     file: `${ENTRY}/once_guard.ts`,
     text: "if (!claims.table.isWithinWindow(id.issuedAt)) {",
     without: "if (false) {",
@@ -83,14 +84,14 @@
     test: "expired id whose record may be gone",
   },
   {
-    name: "a promise to a peer is kept",
+    name: "a request forbidden on behalf of a peer does not run",
     file: `${COORDINATION}/outcome_table.ts`,
     text: 'if (record !== undefined) return { kind: "forbidden" };',
     without: "",
     test: "keeps its promise to a peer",
   },
   {
-    name: "the echo of a stage result is checked",
+    name: "the request ids in a stage result are checked",
     file: "packages/endpoints/src/endpoint_protocol.ts",
     text:
       "return echo.request_id === call.requestId && echo.stage === call.stage &&",
@@ -98,21 +99,21 @@
     test: "belongs to another call|belongs to another request",
   },
   {
-    name: "tokens are counted",
+    name: "missing tokens are detected",
     file: "packages/engines/src/generation.ts",
     text: "if (!token.success || Number(event.id) !== expected) {",
     without: "if (!token.success) {",
     test: "never ends whole on a stream",
   },
   {
-    name: "the end of a stream carries its count",
+    name: "the end of a stream is checked against its token count",
     file: "packages/engines/src/generation.ts",
     text: "if (!end.success || end.data.count !== expected) {",
     without: "if (!end.success) {",
     test: "never ends whole on a stream",
   },
   {
-    name: "a cut connection may have run",
+    name: "a request on a broken connection may have run",
     file: "packages/shared/src/http_client.ts",
     text: 'return { kind: "cut", sent: "maybe", message };',
     without: 'return { kind: "cut", sent: "no", message };',
@@ -127,7 +128,7 @@
     test: "does not repeat a service call whose answer was lost",
   },
   {
-    name: "a token belongs to one account",
+    name: "a resume token belongs to one account",
     file: `${ENTRY}/resume_token.ts`,
     text:
       "if (!content.success || content.data.account !== account) return undefined;",
@@ -135,28 +136,28 @@
     test: "gives nothing to another account",
   },
   {
-    name: "tokens are signed",
+    name: "resume tokens are signed",
     file: `${ENTRY}/resume_token.ts`,
     text: "if (!timingSafeEqual(given, expected)) return undefined;",
     without: "",
     test: "any one character changed|another site's token",
   },
   {
-    name: "a leaving mark counts before the list",
+    name: "a leaving mark takes precedence over the instance list",
     file: `${COORDINATION}/endpoint_directory.ts`,
     text: "!isMarked(formatEndpointKey(endpoint))",
     without: "true",
     test: "report to the instance list",
   },
   {
-    name: "a mark's age travels with it",
+    name: "a mark from a peer keeps its age",
     file: `${COORDINATION}/endpoint_directory.ts`,
     text: "const markedAt = clock.now() - age;",
     without: "const markedAt = clock.now();",
     test: "does not keep a mark alive",
   },
   {
-    name: "ejection has a floor",
+    name: "ejection is limited to a share of a pool",
     file: `${COORDINATION}/endpoint_health.ts`,
     text:
       "if (ejected + 1 > Math.floor(pool.length * SLOW_SHARE)) return undefined;",
@@ -164,7 +165,7 @@
     test: "never ejects more than a third",
   },
   {
-    name: "lost peers are tried now and then",
+    name: "lost peers are contacted occasionally",
     file: `${COORDINATION}/membership.ts`,
     text: "const shouldTryLost = random() < LOST_PEER_SHARE;",
     without: "const shouldTryLost = false;",
@@ -179,28 +180,28 @@
     test: "get the configuration from a peer",
   },
   {
-    name: "the configuration is carried forward",
+    name: "the configuration is republished before the log drops it",
     file: `${ENTRY}/config_follower.ts`,
     text: 'const ack = await log.append("config", record);',
     without: "const ack = { isOk: false };",
     test: "longer than the log keeps records",
   },
   {
-    name: "a stop waits for requests",
+    name: "a stop waits for running requests",
     file: `${ENTRY}/entry.ts`,
     text: "await waitForRequests();",
     without: "",
     test: "cut nothing off",
   },
   {
-    name: "what is given up is cancelled at the engine",
+    name: "an abandoned generation is cancelled at the engine",
     file: `${ENTRY}/generation_runner.ts`,
     text: "if (first.streamId !== undefined) {",
     without: "if (false) {",
     test: "given up before its first token",
   },
   {
-    name: "not_run is said only for a first attempt",
+    name: "not_run is reported only for a first attempt",
     file: `${ENTRY}/request_outcome.ts`,
     text:
       'if (failure.verdict !== "not_run" || head.isFirstAttempt) return failure;',
@@ -209,8 +210,8 @@
   },
 ];
 
-/** Runs the tests of a guard; true when at least one failed. */
-function hasNoticed({ test }: Guard): boolean {
+/** Runs the tests of a guard; true if at least one failed. */
+function isDetected({ test }: Guard): boolean {
   const { status, stdout } = spawnSync(
     "npx",
     ["--no-install", "mocha", "--reporter", "min", "-g", test],
@@ -219,27 +220,34 @@
   return status !== 0 && /\d+ failing/.test(stdout);
 }
 
-function checkGuard(guard: Guard): "noticed" | "unnoticed" | "no such text" {
+function checkGuard(
+  guard: Guard,
+): "detected" | "undetected" | "no such text" {
   const original = readFileSync(guard.file, "utf8");
   if (original.split(guard.text).length !== 2) return "no such text";
   try {
     writeFileSync(guard.file, original.replace(guard.text, guard.without));
-    return hasNoticed(guard) ? "noticed" : "unnoticed";
+    return isDetected(guard) ? "detected" : "undetected";
   } finally {
     writeFileSync(guard.file, original);
   }
 }
 
-/** `npm run guards -- TEXT` checks only the guards whose name contains it. */
-const only = process.argv[2] ?? "";
-const chosen = GUARDS.filter(({ name }) => name.includes(only));
-const counts = { guards: chosen.length, noticed: 0, unnoticed: 0, broken: 0 };
-for (const guard of chosen) {
+/** `npm run guards -- TEXT` checks only the guards whose name contains TEXT. */
+const nameFilter = process.argv[2] ?? "";
+const selected = GUARDS.filter(({ name }) => name.includes(nameFilter));
+const counts = {
+  guards: selected.length,
+  detected: 0,
+  undetected: 0,
+  broken: 0,
+};
+for (const guard of selected) {
   const outcome = checkGuard(guard);
-  if (outcome === "noticed") counts.noticed++;
-  else if (outcome === "unnoticed") counts.unnoticed++;
+  if (outcome === "detected") counts.detected++;
+  else if (outcome === "undetected") counts.undetected++;
   else counts.broken++;
   process.stdout.write(`${outcome.padEnd(12)} ${guard.name}\n`);
 }
 process.stdout.write(`${JSON.stringify(counts)}\n`);
-process.exitCode = counts.noticed === counts.guards ? 0 : 1;
+process.exitCode = counts.detected === counts.guards ? 0 : 1;
--- a/scripts/launcher.cjs
+++ b/scripts/launcher.cjs
@@ -1,10 +1,10 @@
 /**
- * Starts a bundle with the code that was compiled when it was built.
+ * Starts a bundle with the V8 code cache that was created at build time.
  *
- * What it saves is 0.08 s of the 0.2 s of processor time that loading takes,
- * 0.25 s on a small instance, in which a restarted process answers nobody. Code
- * compiled by another version of Node.js, or with other flags, is refused by the
- * engine and compiled anew.
+ * The cache saves 0.08 s of the 0.2 s of processor time that loading takes, or
+ * 0.25 s on a small instance, during which a restarted process serves no
+ * requests. V8 rejects a cache created by another version of Node.js or with
+ * other flags, and compiles the bundle again.
  */
 "use strict";
 
--- a/scripts/mocha_reporter.cjs
+++ b/scripts/mocha_reporter.cjs
@@ -1,5 +1,5 @@
 /**
- * Prints one dot for each test and writes a report for scripts/test.ts.
+ * Prints one dot per test and writes a JSON report for scripts/test.ts.
  */
 const { writeFileSync } = require("node:fs");
 const { reporters } = require("mocha");
--- a/scripts/prepare.mjs
+++ b/scripts/prepare.mjs
@@ -1,16 +1,16 @@
 /**
- * Installs the packages when they are missing or older than the lock file.
- * Plain JavaScript, because nothing is installed yet when it runs.
+ * Installs the packages if they are missing or older than the lock file.
+ * Written in JavaScript because no packages may be installed when it runs.
  */
 import { spawnSync } from "node:child_process";
 import { existsSync, statSync } from "node:fs";
 import process from "node:process";
 
-const MARK = "node_modules/.package-lock.json";
+const INSTALLED_LOCK = "node_modules/.package-lock.json";
 const LOCK = "package-lock.json";
 
-const isInstalled = existsSync(MARK) &&
-  statSync(MARK).mtimeMs >= statSync(LOCK).mtimeMs;
+const isInstalled = existsSync(INSTALLED_LOCK) &&
+  statSync(INSTALLED_LOCK).mtimeMs >= statSync(LOCK).mtimeMs;
 
 if (!isInstalled) {
   console.error("prepare: installing packages");
--- a/scripts/settings_reference.ts
+++ b/scripts/settings_reference.ts
@@ -1,6 +1,6 @@
 /**
- * Writes docs/operators/settings.md from the schemas. With --check it only
- * tells whether the page is current.
+ * Generates docs/operators/settings.md from the schemas. With --check it only
+ * checks whether the page is up to date.
  *
  * @module
  */
@@ -91,7 +91,7 @@
 
 if (process.argv.includes("--check")) {
   const isCurrent = readFileSync(PAGE, "utf8") === page;
-  if (!isCurrent) process.stdout.write(`${PAGE} is old: npm run settings\n`);
+  if (!isCurrent) process.stdout.write(`${PAGE} is stale: npm run settings\n`);
   process.exitCode = isCurrent ? 0 : 1;
 } else {
   writeFileSync(PAGE, page);
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -1,6 +1,6 @@
 /**
- * Runs all checks: format, lint, types, tests. Ends with `N passed, N failed`,
- * where each check that is not a test counts as one.
+ * Runs all checks: format, lint, types, builds, tests and a short soak test. The
+ * last line is `N passed, N failed`; each check that is not a test counts as one.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 }
 
 const REPORT = "node_modules/.cache-mocha-report.json";
-/** A short run of the soak; fresh seeds are run by hand. */
+/** Seed of the short soak run; runs with new seeds are started manually. */
 const SOAK_SEED = "20261202";
 const KNOWN_RED = "KNOWN-RED.txt";
 
@@ -52,8 +52,8 @@
   }
 }
 
-/** Test titles of KNOWN-RED.txt: one `title | cause | issue` a line. */
-function readKnownRed(): string[] {
+/** Reads the test titles of KNOWN-RED.txt: `title | cause | issue` on each line. */
+function readKnownFailures(): string[] {
   if (!existsSync(KNOWN_RED)) return [];
   return readFileSync(KNOWN_RED, "utf8").split("\n")
     .filter((line) => line.trim() !== "" && !line.startsWith("#"))
@@ -79,14 +79,14 @@
   ...["--seed", SOAK_SEED, "--seeds", "2", "--jobs", "2", "--seconds", "4"],
 ], counts);
 
-const knownRed = readKnownRed();
+const knownFailures = readKnownFailures();
 const isCi = process.argv.includes("--ci");
-const passedOver = isCi
-  ? counts.failed.filter((title) => knownRed.includes(title))
+const ignored = isCi
+  ? counts.failed.filter((title) => knownFailures.includes(title))
   : [];
-for (const title of passedOver) {
+for (const title of ignored) {
   process.stdout.write(`known red, passed over: ${title}\n`);
 }
-const failed = counts.failed.length - passedOver.length;
+const failed = counts.failed.length - ignored.length;
 process.stdout.write(`${counts.passed} passed, ${failed} failed\n`);
 process.exitCode = failed === 0 ? 0 : 1;
--- a/scripts/undici_parts.ts
+++ b/scripts/undici_parts.ts
@@ -1,9 +1,9 @@
 /**
  * Bundles the part of undici that the program uses.
  *
- * Its index loads the standard's fetch, caches, cookies and websockets as well,
- * and with them Node.js's own copy of them: 0.06 s of the 0.17 s of processor
- * time between a bare Node.js and the loaded program (25 starts each in turn).
+ * The index of undici also loads fetch, caches, cookies and websockets, and with
+ * them Node.js's own copy of these. That takes 0.06 s of the 0.17 s of processor
+ * time between a bare Node.js and the loaded program (25 alternating starts each).
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { Plugin } from "esbuild";
 
 const NAMESPACE = "undici-parts";
-/** What undici's index does for the classes that the program imports. */
+/** The part of undici's index that sets up the classes the program imports. */
 const CONTENTS = `
 import Client from "undici/lib/dispatcher/client.js";
 import Pool from "undici/lib/dispatcher/pool.js";
@@ -22,7 +22,7 @@
 export { buildConnector, Client, Pool };
 `;
 
-/** The plugin; a name that it does not export fails the build. */
+/** The esbuild plugin; importing a name that it does not export fails the build. */
 export const undiciParts: Plugin = {
   name: NAMESPACE,
   setup(build) {
