--- a/scripts/guards.ts
+++ b/scripts/guards.ts
@@ -103,14 +103,14 @@
     file: "packages/engines/src/generation.ts",
     text: "if (!token.success || Number(event.id) !== expected) {",
     without: "if (!token.success) {",
-    test: "never ends whole on a stream",
+    test: "reports a stream with",
   },
   {
     name: "the end of a stream is checked against its token count",
     file: "packages/engines/src/generation.ts",
     text: "if (!end.success || end.data.count !== expected) {",
     without: "if (!end.success) {",
-    test: "never ends whole on a stream",
+    test: "reports a stream with",
   },
   {
     name: "a request on a broken connection may have run",
