--- a/bench/src/caller_load.ts
+++ b/bench/src/caller_load.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the work of a plan as callers would, through the embedded client, and
- * keeps the history for the checker.
+ * Sends the requests of a plan through the embedded client, as callers do, and
+ * records the history for the checker.
  *
  * @module
  */
@@ -15,17 +15,17 @@
 import type { HistoryEntry, ReceivedAnswer, SentRequest } from "./checker.ts";
 import type { Deployment, WorkPlan } from "./site_plan.ts";
 
-/** A request that is about to be sent. */
+/** A request to send. */
 export interface PlannedRequest {
   work: WorkPlan;
   label: string;
   text: string;
 }
 
-/** Sends requests of all accounts. */
+/** Sends requests for all accounts. */
 export interface CallerLoad {
   readonly history: HistoryEntry[];
-  /** Sends one request; resolves when its caller has a final answer. */
+  /** Sends one request; resolves with the final answer to its caller. */
   send(planned: PlannedRequest): Promise<ReceivedAnswer>;
   close(): Promise<void>;
 }
@@ -34,10 +34,10 @@
 export interface CallerLoadOptions {
   clock: Clock;
   deployment: Deployment;
-  /** Entries that callers know from their own settings. */
+  /** Addresses of entries that callers have in their own settings. */
   readKnownAddresses: () => string[];
   createUniqueText: () => string;
-  /** Clients of each account; each uses one entry at a time. */
+  /** Number of clients per account; each uses one entry at a time. */
   clientsPerAccount?: number | undefined;
   onFirstToken?: (planned: PlannedRequest, time: Millis) => void;
 }
@@ -59,13 +59,13 @@
   const history: HistoryEntry[] = [];
   const clients = new Map<string, CallerClient>();
 
-  /** Several for each account: one client uses one entry at a time. */
-  function findClient(account: string): CallerClient {
+  /** Rotates over the clients of an account, as each uses one entry at a time. */
+  function getClient(account: string): CallerClient {
     const key = `${account}/${history.length % clientsPerAccount}`;
     const known = clients.get(key);
     if (known !== undefined) return known;
     const plan = deployment.plan.accounts.find(({ name }) => name === account);
-    if (plan === undefined) throw new Error(`no account ${account}`);
+    if (plan === undefined) throw new Error(`unknown account ${account}`);
     const client = createCallerClient({
       clock,
       credentials: { account, key: plan.key },
@@ -79,27 +79,27 @@
 
   async function send(planned: PlannedRequest): Promise<ReceivedAnswer> {
     const entry: HistoryEntry = {
-      sent: describeSent(planned, deployment),
+      sent: createSentRequest(planned, deployment),
       received: undefined,
     };
     history.push(entry);
     const startedAt = clock.now();
-    const output = await sendWork(planned);
+    const outcome = await sendWork(planned);
     const latencyMs = clock.now() - startedAt;
-    entry.received = output.kind === "output"
-      ? { kind: "answered", output: output.value, latencyMs }
+    entry.received = outcome.kind === "output"
+      ? { kind: "answered", output: outcome.value, latencyMs }
       : {
         kind: "failed",
-        verdict: output.failure.verdict,
-        reason: output.failure.kind,
+        verdict: outcome.failure.verdict,
+        reason: outcome.failure.kind,
         latencyMs,
       };
     return entry.received;
   }
 
-  async function sendWork(planned: PlannedRequest): Promise<SentOutput> {
+  async function sendWork(planned: PlannedRequest): Promise<SendOutcome> {
     const { work, label, text } = planned;
-    const client = findClient(work.account);
+    const client = getClient(work.account);
     const options = {
       className: work.className,
       deadlineMs: work.deadlineMs,
@@ -141,11 +141,11 @@
   return { history, send, close };
 }
 
-type SentOutput =
+type SendOutcome =
   | { kind: "output"; value: unknown }
   | { kind: "failed"; failure: Failure };
 
-function describeSent(
+function createSentRequest(
   { work, label, text }: PlannedRequest,
   { config }: Deployment,
 ): SentRequest {
--- a/bench/src/demo.ts
+++ b/bench/src/demo.ts
@@ -79,12 +79,12 @@
     clock: Clock;
   },
 ): Promise<void> {
-  const drawn = createRandomLoad(deployment.plan.work, SEED);
+  const randomLoad = createRandomLoad(deployment.plan.work, SEED);
   const sending: Promise<unknown>[] = [];
   for (let i = 1; i <= requests; i++) {
-    sending.push(load.send(drawn.draw()));
+    sending.push(load.send(randomLoad.sample()));
     if (i % PROGRESS_EVERY === 0) print(`sent ${i} of ${requests}`);
-    await clock.sleep(drawn.drawGap(DEMO_RATE));
+    await clock.sleep(randomLoad.sampleGap(DEMO_RATE));
   }
   await Promise.all(sending);
 }
--- a/bench/src/draft_call.ts
+++ b/bench/src/draft_call.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of an entry without the embedded client, for tests.
+ * Creates calls to an entry without the embedded client, for tests.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import type { LocalSite } from "./local_site.ts";
 import { LOCAL_KEYS } from "./local_site.ts";
 
-/** The text of the request. */
+/** Text of the draft request. */
 export const DRAFT_TEXT = "a complaint about a water bill";
 
-/** A POST of the pipeline request that the tests of the path use. */
+/** Creates a POST call with the pipeline request of the end-to-end tests. */
 export function createDraftCall(
   site: LocalSite,
   path: string,
--- a/bench/src/fault_case.ts
+++ b/bench/src/fault_case.ts
@@ -179,14 +179,14 @@
     seed: number;
   },
 ): Sender {
-  const drawn = createRandomLoad(deployment.plan.work, seed);
+  const randomLoad = createRandomLoad(deployment.plan.work, seed);
   const sending: Promise<unknown>[] = [];
   let factor = 1;
   let isStopped = false;
   async function send(): Promise<void> {
     while (!isStopped) {
-      sending.push(load.send(drawn.draw()));
-      await clock.sleep(drawn.drawGap(RATE * factor));
+      sending.push(load.send(randomLoad.sample()));
+      await clock.sleep(randomLoad.sampleGap(RATE * factor));
     }
     await Promise.all(sending);
   }
--- a/bench/src/load_bench.ts
+++ b/bench/src/load_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one scenario under one policy with open-loop arrivals, and counts
- * latencies from the time at which each request was meant to be sent.
+ * Runs one scenario under one policy with open-loop arrivals, and measures
+ * latencies from the intended send time of each request.
  *
  * @module
  */
@@ -29,7 +29,7 @@
 import { launchSite } from "./site_launcher.ts";
 import type { Deployment } from "./site_plan.ts";
 
-/** The policies that are compared. */
+/** Policies to compare. */
 export type BenchPolicy = EntrySettings["policy"];
 
 /** Options of {@linkcode runLoadBench}. */
@@ -41,12 +41,12 @@
   seconds: number;
 }
 
-/** What a class got. */
+/** Results of a class. */
 export interface ClassResult {
   offered: number;
   attainment: number;
   target: number;
-  /** Share that no policy could exceed, were this class alone. */
+  /** Upper bound on the attainment of any policy if this class ran alone. */
   bound: number;
   refused: number;
   late: number;
@@ -68,13 +68,13 @@
   seconds: number;
   classes: Record<string, ClassResult>;
   all: { offered: number; attainment: number; bound: number };
-  /** Slot-seconds of a pool for each request answered in time. */
+  /** Slot-seconds of each pool per request answered in time. */
   cost_by_stage: Record<string, number>;
-  /** Share of all slot-seconds that led to no answer in time. */
+  /** Share of all slot-seconds not spent on requests answered in time. */
   wasted_share: number;
   /** Means over all entries, without requests: see `idle` of the report. */
   entry_cpu_share: number;
-  /** Mean time of each stage at the entries, queues included. */
+  /** Mean time of each stage at the entries, including queueing. */
   stage_ms: Record<string, number>;
   broken: string[];
 }
@@ -87,7 +87,7 @@
 }
 
 const WARM_UP_SHARE = 0.1;
-const CALIBRATION_DRAWS = 2_000;
+const CALIBRATION_SAMPLES = 2_000;
 const SETTLE_MS = 6_000;
 const BENCH_TIMING = {
   drainMs: 400,
@@ -201,8 +201,8 @@
 function estimateSustainableRate(deployment: Deployment, seed: number): number {
   const load = createRandomLoad(deployment.plan.work, seed + 1_000_000);
   const costs = Array.from(
-    { length: CALIBRATION_DRAWS },
-    () => computeCost(load.draw(), deployment),
+    { length: CALIBRATION_SAMPLES },
+    () => computeCost(load.sample(), deployment),
   );
   return computeSustainableRate(costs, deployment);
 }
@@ -217,18 +217,18 @@
   },
 ): Promise<SentSample[]> {
   const { scenario, deployment, seed, seconds } = options;
-  const drawn = createRandomLoad(deployment.plan.work, seed);
+  const randomLoad = createRandomLoad(deployment.plan.work, seed);
   const startedAt = clock.now();
   const duration = seconds * 1_000;
   const waitUntil = (progress: number) =>
     clock.sleep(startedAt + progress * duration - clock.now());
-  const disturbing = scenario.disturb?.({ site, clock, waitUntil });
+  const injection = scenario.injectFaults?.({ site, clock, waitUntil });
   const samples: SentSample[] = [];
   const sending: Promise<void>[] = [];
   for (let intended = startedAt; intended < startedAt + duration;) {
     const progress = (intended - startedAt) / duration;
     const { work, factor } = scenario.shape(deployment.plan.work, progress);
-    const planned = drawn.draw(work);
+    const planned = randomLoad.sample(work);
     await clock.sleep(intended - clock.now());
     const sample: SentSample = {
       planned,
@@ -236,18 +236,18 @@
       answer: undefined,
       latencyMs: 0,
     };
-    const meant = intended;
+    const intendedAt = intended;
     sending.push(
       load.send(planned).then((answer) => {
         sample.answer = answer;
-        sample.latencyMs = clock.now() - meant;
+        sample.latencyMs = clock.now() - intendedAt;
       }),
     );
     if (progress >= WARM_UP_SHARE) samples.push(sample);
-    intended += drawn.drawGap(rate * factor);
+    intended += randomLoad.sampleGap(rate * factor);
   }
   await Promise.race([Promise.all(sending), clock.sleep(SETTLE_MS)]);
-  await disturbing;
+  await injection;
   return samples;
 }
 
@@ -271,7 +271,7 @@
   },
 ): Omit<LoadBenchResult, "entry_cpu_share" | "stage_ms" | "broken"> {
   const { scenario, policy, seed, deployment, seconds } = options;
-  // Work may be finished until the deadlines of the last requests.
+  // Endpoints may work until the deadlines of the last requests.
   const slack = Math.max(...deployment.plan.work.map((w) => w.deadlineMs)) /
     1_000;
   const capacity = computeCapacity(
--- a/bench/src/local_site.ts
+++ b/bench/src/local_site.ts
@@ -1,6 +1,6 @@
 /**
- * A small site inside one process, for tests: real HTTP on loopback between
- * entries and stand-ins, without starting processes.
+ * A small site in one process, for tests: entries and stand-ins use real HTTP on
+ * loopback, but no other processes are started.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   startWeightStore,
 } from "@mangoreach/standins";
 
-/** A site inside one process. */
+/** A site in one process. */
 export interface LocalSite {
   readonly clock: Clock;
   readonly log: Standin;
@@ -50,8 +50,8 @@
     basedOn?: number,
   ): Promise<PublishOutcome>;
   startEntry(change?: Partial<EntrySettings>): Promise<Entry>;
-  /** Adds an endpoint to the instance list, or changes it there. */
-  list(id: string, change: Record<string, unknown>): Promise<void>;
+  /** Adds or changes a record in the instance list. */
+  putInstance(id: string, change: Record<string, unknown>): Promise<void>;
   createClient(account?: string): CallerClient;
   stop(): Promise<void>;
 }
@@ -65,7 +65,7 @@
   stageTimes?: StageTimes;
   engineTimes?: EngineTimes;
   checksFencing?: boolean;
-  /** Models that the engines hold from the start; by default all. */
+  /** Models that the engines have loaded at the start; by default all. */
   models?: ConfigDocument["models"];
   timing?: Partial<EntrySettings["timing"]>;
   settings?: Partial<EntrySettings>;
@@ -91,10 +91,10 @@
   drainMs: 0,
   lingerMs: 2_000,
 };
-const READY_PAUSE_MS = 10;
-const READY_LIMIT_MS = 5_000;
+const POLL_INTERVAL_MS = 10;
+const READY_TIMEOUT_MS = 5_000;
 
-/** Keys of the accounts of a local site. */
+/** API keys of the accounts of a local site. */
 export const LOCAL_KEYS = {
   handlers: "handlers-test-key-0001",
   portal: "portal-test-key-000001",
@@ -107,7 +107,7 @@
   return { name, kind, checksFencing: kind === "engine", modelsPerEngine: 1 };
 }
 
-/** A configuration with one pipeline of each form and one service. */
+/** A configuration with one service, one generating and one plain pipeline. */
 export const LOCAL_CONFIG: ConfigDocument = {
   classes: [
     { name: "rulings", target: 0.99, priority: 1 },
@@ -144,7 +144,7 @@
   ],
 };
 
-/** Starts a site and waits until its entries are ready and know each other. */
+/** Starts a site; waits until its entries are ready and see each other alive. */
 export async function startLocalSite(
   options: LocalSiteOptions = {},
 ): Promise<LocalSite> {
@@ -187,7 +187,7 @@
     }));
   const entries: Entry[] = [];
 
-  async function list(
+  async function putInstance(
     id: string,
     change: Record<string, unknown>,
   ): Promise<void> {
@@ -199,12 +199,12 @@
     });
   }
 
-  async function listAll(
+  async function putInstances(
     pool: string,
     standins: readonly Standin[],
   ): Promise<void> {
     for (const [i, { address }] of standins.entries()) {
-      await list(`${pool}-${i + 1}`, {
+      await putInstance(`${pool}-${i + 1}`, {
         incarnation: "1",
         pool,
         place: "odda",
@@ -214,7 +214,9 @@
     }
   }
 
-  async function startOne(change: Partial<EntrySettings> = {}): Promise<Entry> {
+  async function startLocalEntry(
+    change: Partial<EntrySettings> = {},
+  ): Promise<Entry> {
     const name = `entry-${entries.length + 1}`;
     const settings = parseEntrySettings({
       file: name,
@@ -246,7 +248,7 @@
       onDrain: () => void entry.stop(),
     });
     entries.push(entry);
-    await list(name, {
+    await putInstance(name, {
       incarnation: entry.status.incarnation,
       pool: "entry",
       place: "odda",
@@ -287,15 +289,17 @@
     await logClient.close();
     const all = [log, instanceList, weightStore];
     await Promise.all(
-      [...all, ...encoders, ...services, ...engines].map((one) => one.stop()),
+      [...all, ...encoders, ...services, ...engines].map((standin) =>
+        standin.stop()
+      ),
     );
   }
 
-  await listAll("encoder", encoders);
-  await listAll("billing", services);
-  await listAll("engine", engines);
+  await putInstances("encoder", encoders);
+  await putInstances("billing", services);
+  await putInstances("engine", engines);
   await publish(options.config ?? LOCAL_CONFIG);
-  for (let i = 0; i < (options.entries ?? 1); i++) await startOne();
+  for (let i = 0; i < (options.entries ?? 1); i++) await startLocalEntry();
   await waitUntil(clock, () =>
     entries.every(({ status }) =>
       status.isReady &&
@@ -313,22 +317,22 @@
     services,
     engines,
     publish,
-    startEntry: startOne,
-    list,
+    startEntry: startLocalEntry,
+    putInstance,
     createClient,
     stop,
   };
 }
 
-/** Waits until a condition holds; throws when it does not in time. */
+/** Waits until a condition holds; throws if it does not in time. */
 export async function waitUntil(
   clock: Clock,
   condition: () => boolean,
 ): Promise<void> {
-  const giveUpAt = clock.now() + READY_LIMIT_MS;
+  const timeoutAt = clock.now() + READY_TIMEOUT_MS;
   while (!condition()) {
-    if (clock.now() > giveUpAt) throw new Error(`never came: ${condition}`);
-    await clock.sleep(READY_PAUSE_MS);
+    if (clock.now() > timeoutAt) throw new Error(`timed out: ${condition}`);
+    await clock.sleep(POLL_INTERVAL_MS);
   }
 }
 
--- a/bench/src/process_launcher.ts
+++ b/bench/src/process_launcher.ts
@@ -1,5 +1,5 @@
 /**
- * Starts the programs of a site as processes and ends only those.
+ * Starts the programs of a site as processes, and kills only these.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import process from "node:process";
 import { createInterface } from "node:readline";
 
-/** A process that was started here. */
+/** A process that this module started. */
 export interface LaunchedProcess {
   readonly pid: number;
-  /** The JSON line that the program printed when it was ready. */
+  /** The JSON line that the program prints when it is ready. */
   readonly ready: Record<string, unknown>;
   readonly hasExited: boolean;
   /** Resolves with the exit status; null after a kill. */
@@ -24,12 +24,12 @@
 export interface LaunchOptions {
   program: string;
   args: string[];
-  /** Standard error goes here; by default nowhere. */
+  /** File for standard error, which is discarded by default. */
   errorFile?: string;
 }
 
 const launched = new Set<ChildProcess>();
-const START_LIMIT_MS = 20_000;
+const START_TIMEOUT_MS = 20_000;
 
 /** Starts a program of dist/ and waits for its first line. */
 export async function launchProcess(
@@ -68,12 +68,12 @@
 ): Promise<Record<string, unknown>> {
   return new Promise((resolve, reject) => {
     const timer = setTimeout(
-      () => reject(new Error(`${program} did not start in time`)),
-      START_LIMIT_MS,
+      () => reject(new Error(`${program} did not become ready in time`)),
+      START_TIMEOUT_MS,
     );
     child.once("exit", (status) => {
       clearTimeout(timer);
-      reject(new Error(`${program} ended with status ${status} at its start`));
+      reject(new Error(`${program} exited with ${status} before it was ready`));
     });
     if (child.stdout === null) return;
     createInterface(child.stdout).once("line", (line) => {
@@ -83,7 +83,7 @@
   });
 }
 
-/** Ends every process that is still running. */
+/** Kills every launched process that is still running. */
 export function killAll(): void {
   for (const child of launched) {
     child.kill("SIGCONT");
--- a/bench/src/process_usage.ts
+++ b/bench/src/process_usage.ts
@@ -1,13 +1,13 @@
 /**
- * Reads processor time and memory of a process from the proc file system.
+ * Reads CPU time, memory and transferred bytes of a process from procfs.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 
-/** What a process has used. */
+/** Resource usage of a process. */
 export interface ProcessUsage {
-  /** User and system time, in seconds. */
+  /** User and system CPU time, in seconds. */
   cpuSeconds: number;
   residentBytes: number;
   /** Bytes read and written by system calls, sockets included (proc(5), `io`). */
@@ -19,21 +19,21 @@
 const USER_TIME_FIELD = 11;
 const RESIDENT_FIELD = 21;
 
-/** Reads the usage of a process of this machine (proc(5), `stat`). */
+/** Reads the usage of a local process (proc(5), `stat`). */
 export function readProcessUsage(pid: number): ProcessUsage {
   const text = readFileSync(`/proc/${pid}/stat`, "utf8");
-  // The name in the second field may contain spaces.
+  // The command name in the second field may contain spaces.
   const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[USER_TIME_FIELD]) +
     Number(fields[USER_TIME_FIELD + 1]);
   return {
     cpuSeconds: ticks / TICKS_PER_SECOND,
     residentBytes: Number(fields[RESIDENT_FIELD]) * PAGE_BYTES,
-    transferredBytes: readTransferred(pid),
+    transferredBytes: readTransferredBytes(pid),
   };
 }
 
-function readTransferred(pid: number): number {
+function readTransferredBytes(pid: number): number {
   const text = readFileSync(`/proc/${pid}/io`, "utf8");
   return [...text.matchAll(/^[rw]char: (\d+)$/gm)]
     .reduce((sum, [, count]) => sum + Number(count), 0);
--- a/bench/src/programs.ts
+++ b/bench/src/programs.ts
@@ -1,19 +1,19 @@
 /**
- * Runs the operators' programs as an operator would.
+ * Runs the operators' command-line programs.
  *
  * @module
  */
 import { spawn } from "node:child_process";
 import process from "node:process";
 
-/** What a program printed and how it ended. */
+/** Output and exit status of a program. */
 export interface ProgramResult {
   status: number | null;
   output: string;
   errors: string;
 }
 
-/** Runs a program of dist/ to its end. */
+/** Runs a program of dist/ and waits until it exits. */
 export function runProgram(
   program: string,
   args: readonly string[],
--- a/bench/src/scenarios.ts
+++ b/bench/src/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * The scenarios of the bench: how much is sent when, and what goes wrong.
+ * The scenarios of the bench: the load over time and the injected faults.
  *
  * @module
  */
@@ -7,40 +7,40 @@
 import type { Site } from "./site_launcher.ts";
 import type { WorkPlan } from "./site_plan.ts";
 
-/** A scenario. */
+/** A load profile with optional faults. */
 export interface Scenario {
   name: string;
-  /** Offered load as a multiple of what the pools carry. */
+  /** Offered load as a multiple of the rate that the pools sustain. */
   load: number;
-  /** What is sent at a share of the run's time, from 0 to 1. */
+  /** Returns the load at a progress of the run from 0 to 1. */
   shape(work: readonly WorkPlan[], progress: number): ShapedLoad;
-  /** What goes wrong; times are shares of the run's time. */
-  disturb?(disturbance: Disturbance): Promise<void>;
-  /** Whether endpoints need processes of their own, to be killed. */
+  /** Injects faults; times are given as the progress of the run. */
+  injectFaults?(injection: FaultInjection): Promise<void>;
+  /** Whether each endpoint needs its own process, so that it can be killed. */
   needsProcesses?: boolean;
-  /** Clients of each account; few clients mean few, long-lived connections. */
+  /** Clients per account; few clients mean few, long-lived connections. */
   clientsPerAccount?: number;
 }
 
-/** What is sent at a time. */
+/** The load at a point of the run. */
 export interface ShapedLoad {
   work: readonly WorkPlan[];
   /** Multiplies the scenario's load. */
   factor: number;
 }
 
-/** What a disturbance can reach. */
-export interface Disturbance {
+/** What a fault injection can act on. */
+export interface FaultInjection {
   site: Site;
   clock: Clock;
-  /** Waits until a share of the run's time has passed. */
+  /** Waits until the run reaches a progress from 0 to 1. */
   waitUntil(progress: number): Promise<void>;
 }
 
 const NORMAL_LOAD = 0.7;
 const SURGE_FROM = 0.25;
 const SURGE_UNTIL = 0.6;
-const SURGE_LENGTH = 8;
+const SURGE_LENGTH_FACTOR = 8;
 const BURST_FACTOR = 2.2;
 const SLOW_FACTOR = 10;
 
@@ -52,7 +52,7 @@
   return { work, factor: 1 };
 }
 
-/** Long complaint files: the same requests, with much longer texts. */
+/** Sends the same requests with much longer texts during the surge. */
 function sendLongFiles(
   work: readonly WorkPlan[],
   progress: number,
@@ -61,12 +61,14 @@
   const long = work.map((one) =>
     one.pipeline === undefined
       ? one
-      : { ...one, meanLength: one.meanLength * SURGE_LENGTH }
+      : { ...one, meanLength: one.meanLength * SURGE_LENGTH_FACTOR }
   );
   return { work: long, factor: 1 };
 }
 
-async function startSlowness({ site, waitUntil }: Disturbance): Promise<void> {
+async function applySlowdown(
+  { site, waitUntil }: FaultInjection,
+): Promise<void> {
   await waitUntil(SURGE_FROM);
   for (const id of ["encoder-1", "engine-1"]) {
     const endpoint = site.endpoints.find((one) => one.id === id);
@@ -74,24 +76,28 @@
   }
 }
 
-async function killEndpoints({ site, waitUntil }: Disturbance): Promise<void> {
+async function killEndpoints(
+  { site, waitUntil }: FaultInjection,
+): Promise<void> {
   await waitUntil(SURGE_FROM);
   for (const id of ["encoder-1", "engine-1"]) {
     site.endpoints.find((one) => one.id === id)?.process.send("SIGKILL");
   }
 }
 
-async function killEntry({ site, waitUntil }: Disturbance): Promise<void> {
+async function killEntry({ site, waitUntil }: FaultInjection): Promise<void> {
   await waitUntil(SURGE_FROM);
   site.entries.find(({ name }) => name === "entry-2")?.process.send("SIGKILL");
 }
 
-async function takeLogAway({ site }: Disturbance): Promise<void> {
+async function disableLog({ site }: FaultInjection): Promise<void> {
   await site.setFaults(site.log.address, { away: true });
 }
 
-/** Replaces every entry, one after the other, as an operator would. */
-async function replaceAll({ site, waitUntil }: Disturbance): Promise<void> {
+/** Replaces all entries one after the other, as in a rolling restart. */
+async function replaceEntries(
+  { site, waitUntil }: FaultInjection,
+): Promise<void> {
   const names = site.entries.map(({ name }) => name);
   for (const [i, name] of names.entries()) {
     await waitUntil(0.1 + 0.8 * i / names.length);
@@ -120,32 +126,32 @@
     name: "slow_endpoint",
     load: NORMAL_LOAD,
     shape: sendSteadily,
-    disturb: startSlowness,
+    injectFaults: applySlowdown,
   },
   {
     name: "dead_endpoint",
     load: NORMAL_LOAD,
     shape: sendSteadily,
-    disturb: killEndpoints,
+    injectFaults: killEndpoints,
     needsProcesses: true,
   },
   {
     name: "entry_killed",
     load: NORMAL_LOAD,
     shape: sendSteadily,
-    disturb: killEntry,
+    injectFaults: killEntry,
   },
   {
     name: "log_away",
     load: NORMAL_LOAD,
     shape: sendSteadily,
-    disturb: takeLogAway,
+    injectFaults: disableLog,
   },
   {
     name: "rolling_restart",
     load: NORMAL_LOAD,
     shape: sendSteadily,
-    disturb: replaceAll,
+    injectFaults: replaceEntries,
   },
   {
     name: "large_account",
@@ -157,11 +163,11 @@
     name: "surge_and_log_away",
     load: NORMAL_LOAD,
     shape: sendLongFiles,
-    disturb: takeLogAway,
+    injectFaults: disableLog,
   },
 ];
 
-/** One account sends half of everything. */
+/** Scales the shares so that one account sends half of all requests. */
 function createLargeAccount(work: readonly WorkPlan[]): WorkPlan[] {
   const pipelines = work.filter(({ pipeline }) => pipeline !== undefined);
   const large = pipelines.reduce((a, b) => b.share > a.share ? b : a);
--- a/bench/src/site_launcher.ts
+++ b/bench/src/site_launcher.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a whole site on loopback: platform stand-ins, endpoints and entries,
- * each as a process of its own.
+ * Starts a complete site on loopback: platform stand-ins, endpoints and entries,
+ * each in its own process.
  *
  * @module
  */
@@ -26,7 +26,7 @@
   process: LaunchedProcess;
 }
 
-/** An endpoint of the site; bench endpoints of one pool share a process. */
+/** An endpoint of the site; those of a pool may share one process. */
 export interface SiteEndpoint {
   id: string;
   pool: string;
@@ -35,26 +35,26 @@
   process: LaunchedProcess;
 }
 
-/** What a launched site offers to demo, bench and failure cases. */
+/** A launched site, as the demo, the bench and the failure cases use it. */
 export interface Site {
   readonly entries: SiteEntry[];
   readonly endpoints: SiteEndpoint[];
   readonly log: { address: string; process: LaunchedProcess };
   readonly instanceListAddress: string;
-  /** Settings of the operators' programs. */
+  /** Settings file for the operators' programs. */
   readonly operatorSettingsFile: string;
   readonly operatorKey: string;
   readonly folder: string;
   startEntry(name: string): Promise<SiteEntry>;
   startEndpoint(id: string): Promise<SiteEndpoint>;
-  /** Changes what the instance list says. */
+  /** Adds or changes a record in the instance list. */
   putInstance(id: string, change: Record<string, unknown>): Promise<void>;
   removeInstance(id: string): Promise<void>;
   setFaults(address: string, faults: Partial<Faults>): Promise<void>;
-  /** Everything that the endpoints of the pools executed. */
+  /** Reads the executions of the running endpoints, of all pools by default. */
   readExecutions(pools?: readonly string[]): Promise<Execution[]>;
   call(call: HttpCall): Promise<unknown>;
-  /** Reads the metrics of an entry; empty when it does not answer. */
+  /** Reads the metrics of an entry; returns "" if it does not answer. */
   readMetrics(entry: SiteEntry): Promise<string>;
   stop(): Promise<void>;
 }
@@ -63,7 +63,7 @@
 export interface LaunchSiteOptions {
   deployment: Deployment;
   policy?: EntrySettings["policy"];
-  /** Changes to the settings of every entry. */
+  /** Overrides the timing settings of every entry. */
   timing?: Partial<EntrySettings["timing"]>;
   logLevel?: EntrySettings["logLevel"];
   listLagMs?: number;
@@ -75,14 +75,14 @@
 
 const SITE_KEY = "demo-site-key-0123456789";
 const OPERATOR_KEY = "demo-operator-key-0123456789";
-const DEFAULT_LIST_LAG = 500;
+const DEFAULT_LIST_LAG_MS = 500;
 
-/** Starts a site; resolves when every process is ready. */
+/** Starts a site; resolves when all processes are ready. */
 export async function launchSite(options: LaunchSiteOptions): Promise<Site> {
   const { plan } = options.deployment;
   const folder = mkdtempSync(join(tmpdir(), "mangoreach-"));
   const http = createHttpClient({ maxReplyBytes: 268_435_456 });
-  /** Every process of this site, also those that were replaced. */
+  /** All processes of this site, including replaced ones. */
   const processes = new Set<LaunchedProcess>();
   const launch: Launch = async (launchOptions) => {
     const process = await launchProcess(launchOptions);
@@ -135,7 +135,7 @@
       controlAddress: String(process.ready.control),
       process,
     };
-    replaceById(entries, entry, (known) => known.name === name);
+    insertOrReplace(entries, entry, (known) => known.name === name);
     await putInstance(name, {
       incarnation: String(process.pid),
       pool: "entry",
@@ -193,7 +193,7 @@
     const id = `${pool}-${number}`;
     const place = plan.entries[(number - 1) % plan.entries.length]!.place;
     const endpoint = { id, pool, place, address, process };
-    replaceById(endpoints, endpoint, (known) => known.id === id);
+    insertOrReplace(endpoints, endpoint, (known) => known.id === id);
     await putInstance(id, {
       incarnation: `${process.pid}-${number}`,
       pool,
@@ -207,12 +207,12 @@
   async function readExecutions(
     pools?: readonly string[],
   ): Promise<Execution[]> {
-    const wanted = endpoints.filter(({ pool, process }) =>
+    const selected = endpoints.filter(({ pool, process }) =>
       !process.hasExited && (pools === undefined || pools.includes(pool))
     );
     const ledgers = await Promise.all(
-      wanted.map(({ address }) =>
-        // An endpoint may be killed between the look and the call.
+      selected.map(({ address }) =>
+        // An endpoint may be killed between the check and the call.
         call({ method: "GET", address, path: "/ledger" }).catch(() => [])
       ),
     );
@@ -231,7 +231,7 @@
 
   async function stop(): Promise<void> {
     for (const process of processes) {
-      // A stopped process does not die of anything but this.
+      // Only SIGKILL terminates a process that is stopped by SIGSTOP.
       process.send("SIGKILL");
     }
     await http.close();
@@ -277,7 +277,7 @@
 }
 
 async function launchPlatform(
-  { listLagMs = DEFAULT_LIST_LAG, logOptions = {} }: LaunchSiteOptions,
+  { listLagMs = DEFAULT_LIST_LAG_MS, logOptions = {} }: LaunchSiteOptions,
   launch: Launch,
 ): Promise<Platform> {
   const [log, list, store] = await Promise.all([
@@ -292,7 +292,7 @@
   };
 }
 
-/** Starts a process that belongs to the site. */
+/** Starts a process and registers it with the site. */
 type Launch = typeof launchProcess;
 
 function createStandinOptions(
@@ -358,12 +358,12 @@
   };
 }
 
-function replaceById<T>(
+function insertOrReplace<T>(
   list: T[],
   item: T,
   isSame: (known: T) => boolean,
 ): void {
-  const position = list.findIndex(isSame);
-  if (position < 0) list.push(item);
-  else list[position] = item;
+  const index = list.findIndex(isSame);
+  if (index < 0) list.push(item);
+  else list[index] = item;
 }
--- a/bench/src/site_plan.ts
+++ b/bench/src/site_plan.ts
@@ -1,5 +1,5 @@
 /**
- * The plan of a site for demo and bench: which processes run where.
+ * The plan of a site for the demo and the bench: its processes and where they run.
  *
  * @module
  */
@@ -49,7 +49,7 @@
   share: z.number().min(0),
   isStreamed: z.boolean().default(false),
   isIdempotent: z.boolean().default(true),
-  /** Whether the caller makes ids itself, which are claimed in the log. */
+  /** Whether the caller creates the ids itself; these are claimed in the log. */
   isDated: z.boolean().default(false),
   /** Mean length of the text, in characters. */
   meanLength: z.number().int().min(1),
@@ -77,7 +77,7 @@
 /** A pool of the plan. */
 export type PoolPlan = SitePlan["pools"][number];
 
-/** One kind of work that callers send. */
+/** A kind of request that callers send. */
 export type WorkPlan = SitePlan["work"][number];
 
 /** A deployment: its plan and the configuration that its operators publish. */
@@ -88,19 +88,19 @@
   configFile: string;
 }
 
-/** Reads a folder under deployments/; throws with all faults. */
+/** Reads a folder under deployments/; the error thrown lists all faults. */
 export function readDeployment(name: string): Deployment {
   const folder = `deployments/${name}`;
   const configFile = `${folder}/config.jsonc`;
   return {
     name,
-    plan: readChecked<SitePlan>(sitePlanSchema, `${folder}/site.jsonc`),
-    config: readChecked<ConfigDocument>(configDocumentSchema, configFile),
+    plan: readValidated<SitePlan>(sitePlanSchema, `${folder}/site.jsonc`),
+    config: readValidated<ConfigDocument>(configDocumentSchema, configFile),
     configFile,
   };
 }
 
-function readChecked<T>(schema: z.ZodType<T>, file: string): T {
+function readValidated<T>(schema: z.ZodType<T>, file: string): T {
   const parsed = parseSettings(schema, {
     file,
     text: readFileSync(file, "utf8"),
