--- a/bench/src/bench.ts
+++ b/bench/src/bench.ts
@@ -1,5 +1,5 @@
 /**
- * The bench: `npm run bench -- SCENARIO`. Every run ends with one JSON line.
+ * The bench: `npm run bench -- SCENARIO`. Each run prints its result as one JSON line.
  *
  * @module
  */
@@ -24,8 +24,8 @@
   --seeds N           number of seeds, default 1
   --seconds N         length of a run, default 10
   --deployment NAME   fjordvik (default) or association
-  --lanes N           runs at once, default 1
-  --store             keep results under .bench/ for the report
+  --lanes N           number of parallel runs, default 1
+  --store             store results under .bench/ for the report
 
 Scenarios: ${SCENARIOS.map(({ name }) => name).join(", ")}
 `;
@@ -62,7 +62,7 @@
 }
 
 function planRuns(names: readonly string[], options: Options): PlannedRun[] {
-  const chosen = names.includes("all")
+  const selected = names.includes("all")
     ? SCENARIOS
     : SCENARIOS.filter(({ name }) => names.includes(name));
   const policies = options.compare
@@ -73,7 +73,7 @@
     { length: Number(options.seeds) },
     (_, i) => first + i,
   );
-  return chosen.flatMap((scenario) =>
+  return selected.flatMap((scenario) =>
     seeds.flatMap((seed) =>
       policies.map((policy) => ({ scenario, policy, seed }))
     )
@@ -85,10 +85,14 @@
   const seconds = Number(options.seconds);
   const waiting = [...runs];
   async function runLane(): Promise<void> {
-    for (let one = waiting.shift(); one !== undefined; one = waiting.shift()) {
-      const result = await runLoadBench({ ...one, deployment, seconds });
+    for (
+      let next = waiting.shift();
+      next !== undefined;
+      next = waiting.shift()
+    ) {
+      const result = await runLoadBench({ ...next, deployment, seconds });
       printTable(result);
-      if (options.store) keepResult(result);
+      if (options.store) storeResult(result);
       process.stdout.write(`${JSON.stringify(result)}\n`);
     }
   }
@@ -119,7 +123,7 @@
   );
 }
 
-function keepResult(result: LoadBenchResult): void {
+function storeResult(result: LoadBenchResult): void {
   mkdirSync(RESULTS_FOLDER, { recursive: true });
   const { deployment, scenario, policy, seed } = result;
   const name = `${deployment}-${scenario}-${policy}-${seed}.json`;
--- a/bench/src/control_cost.ts
+++ b/bench/src/control_cost.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- control`: what an entry spends on control while no requests
- * come: peers, log, instance list, load reports, leases.
+ * `npm run bench -- control`: measures what an entry spends on peers, log,
+ * instance list, load reports and leases while it receives no requests.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 const SETTLE_MS = 8_000;
 const MEASURE_MS = 20_000;
 
-/** Runs the measurement; returns the JSON line. */
+/** Runs the measurement; returns the values of the JSON line. */
 export async function runControlCost(
   deploymentName: string,
 ): Promise<Record<string, unknown>> {
--- a/bench/src/demo.ts
+++ b/bench/src/demo.ts
@@ -1,5 +1,6 @@
 /**
- * The demo: a whole site as processes, real requests, every answer checked.
+ * The demo: starts a complete site as processes, sends requests and checks every
+ * answer.
  *
  * @module
  */
@@ -24,14 +25,14 @@
   `Usage: npm run demo -- [--deployment NAME] [--requests N] [--keep]
 
 Starts a site on loopback, sends requests, checks every answer, and prints one
-JSON line last. --keep leaves the site running and prints how to talk to it.
+JSON line last. --keep leaves the site running and prints example commands.
 `;
 const DEMO_RATE = 40;
-const PROGRESS_EVERY = 50;
-const READY_PAUSE_MS = 100;
-const READY_LIMIT_MS = 15_000;
+const PROGRESS_INTERVAL = 50;
+const POLL_INTERVAL_MS = 100;
+const READY_TIMEOUT_MS = 15_000;
 const SEED = 1;
-/** Entries of the demo leave quickly, so that it ends soon. */
+/** Entries of the demo drain quickly, so that it ends soon. */
 const DEMO_TIMING = { drainMs: 500, exchangeMs: 500, suspectMs: 2_000 };
 
 async function publish(site: Site, { configFile }: Deployment): Promise<void> {
@@ -47,10 +48,10 @@
   if (result.status !== 0) throw new Error("the configuration is not in force");
 }
 
-/** Waits until every entry is listed and knows every other. */
-async function waitUntilAcquainted(site: Site, clock: Clock): Promise<void> {
-  const giveUpAt = clock.now() + READY_LIMIT_MS;
-  while (clock.now() < giveUpAt) {
+/** Waits until all entries are listed and each sees all others alive. */
+async function waitUntilConnected(site: Site, clock: Clock): Promise<void> {
+  const timeoutAt = clock.now() + READY_TIMEOUT_MS;
+  while (clock.now() < timeoutAt) {
     const result = await runProgram("mangoreachctl", [
       "status",
       "--json",
@@ -66,9 +67,9 @@
           site.entries.length - 1
       );
     if (isComplete) return;
-    await clock.sleep(READY_PAUSE_MS);
+    await clock.sleep(POLL_INTERVAL_MS);
   }
-  throw new Error("the entries do not know each other");
+  throw new Error("the entries did not discover each other in time");
 }
 
 async function sendRequests(
@@ -83,19 +84,19 @@
   const sending: Promise<unknown>[] = [];
   for (let i = 1; i <= requests; i++) {
     sending.push(load.send(randomLoad.sample()));
-    if (i % PROGRESS_EVERY === 0) print(`sent ${i} of ${requests}`);
+    if (i % PROGRESS_INTERVAL === 0) print(`sent ${i} of ${requests}`);
     await clock.sleep(randomLoad.sampleGap(DEMO_RATE));
   }
   await Promise.all(sending);
 }
 
-function describeSummary(result: CheckResult, load: CallerLoad) {
+function createSummary(result: CheckResult, load: CallerLoad) {
   const latencies = load.history
     .flatMap(({ received }) =>
       received === undefined ? [] : [received.latencyMs]
     )
     .sort((a, b) => a - b);
-  const pick = (share: number) =>
+  const getPercentile = (share: number) =>
     Math.round((latencies[Math.floor(latencies.length * share)] ?? 0) * 10) /
     10;
   return {
@@ -107,12 +108,12 @@
     lost: result.lost.length,
     doubled: result.doubled.length,
     falsely_not_run: result.falselyNotRun.length,
-    p50_ms: pick(0.5),
-    p99_ms: pick(0.99),
+    p50_ms: getPercentile(0.5),
+    p99_ms: getPercentile(0.99),
   };
 }
 
-function printHowTo(site: Site, { plan }: Deployment): void {
+function printExamples(site: Site, { plan }: Deployment): void {
   const [account] = plan.accounts;
   const [entry] = site.entries;
   const work = plan.work.find(({ pipeline, account: name }) =>
@@ -120,19 +121,19 @@
   );
   if (account === undefined || entry === undefined) return;
   print(`
-The site runs until you press Ctrl-C. Ask for addresses:
+The site runs until you press Ctrl-C. List the addresses of entries:
 
   curl -H 'authorization: Bearer ${account.name}:${account.key}' \\
     http://${entry.callerAddress}/v1/addresses
 
-Send a request (add -H 'accept: text/event-stream' -N to see tokens come):
+Send a request (add -H 'accept: text/event-stream' -N to stream tokens):
 
   curl -H 'authorization: Bearer ${account.name}:${account.key}' \\
     -H 'mangoreach-class: ${work?.className}' -H 'mangoreach-idempotent: true' \\
     -d '{"text":"a complaint about a water bill"}' \\
     http://${entry.callerAddress}/v1/pipelines/${work?.pipeline}
 
-Look at the site:
+Inspect the site:
 
   node dist/mangoreachctl.mjs status --settings ${site.operatorSettingsFile}
   node dist/mangoreach-timeline.mjs --settings ${site.operatorSettingsFile}
@@ -166,10 +167,10 @@
     `starting ${deployment.plan.entries.length} entries and their stand-ins`,
   );
   const site = await launchSite({ deployment, timing: DEMO_TIMING });
-  await waitUntilAcquainted(site, clock);
+  await waitUntilConnected(site, clock);
   await publish(site, deployment);
   if (values.keep) {
-    printHowTo(site, deployment);
+    printExamples(site, deployment);
     await waitForInterrupt();
     return await site.stop();
   }
@@ -184,10 +185,10 @@
   const result = checkHistory(load.history, await site.readExecutions());
   await load.close();
   await site.stop();
-  const summary = describeSummary(result, load);
+  const summary = createSummary(result, load);
   process.stdout.write(`${JSON.stringify(summary)}\n`);
-  const isGood = hasNoViolations(result) && result.mayHaveRun === 0;
-  process.exitCode = isGood ? 0 : 1;
+  const isPassed = hasNoViolations(result) && result.mayHaveRun === 0;
+  process.exitCode = isPassed ? 0 : 1;
 }
 
 run().catch((error) => {
--- a/bench/src/overhead.ts
+++ b/bench/src/overhead.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- overhead`: what an entry adds to the same stand-ins called
- * directly, paired in one run, and what one core of it carries.
+ * `npm run bench -- overhead`: measures the latency that an entry adds to direct
+ * calls of the same stand-ins, in pairs, and its throughput per core.
  *
  * @module
  */
@@ -23,15 +23,15 @@
 import { readDeployment } from "./site_plan.ts";
 
 const PAIRS = 800;
-const WARM_UP = 300;
+const WARM_UP_PAIRS = 300;
 const THROUGHPUT_MS = 6_000;
 const CONCURRENCY = 48;
-const STREAMS = 40;
+const STREAM_CONCURRENCY = 40;
 const OPEN_STREAMS = 500;
 const TEXT = "overhead ".repeat(20);
 const MICROSECONDS = 1_000;
 
-/** Runs the measurement; returns the JSON line. */
+/** Runs the measurement; returns the values of the JSON line. */
 export async function runOverhead(): Promise<Record<string, unknown>> {
   const clock = createSystemClock();
   const deployment = readDeployment("overhead");
@@ -56,9 +56,9 @@
   await clock.sleep(1_500);
   const [entry] = site.entries;
   const [account] = deployment.plan.accounts;
-  if (entry === undefined || account === undefined) throw new Error("no plan");
+  if (entry === undefined || account === undefined) throw new Error("bad plan");
   const { pid } = entry.process;
-  const atRest = readProcessUsage(pid);
+  const idleUsage = readProcessUsage(pid);
   const client = createCallerClient({
     clock,
     credentials: { account: account.name, key: account.key },
@@ -67,73 +67,73 @@
     createUniqueText: () => randomBytes(8).toString("hex"),
   });
   const direct = createDirectPath(site, clock);
-  const through = createEntryPath(client);
-  const whole = await measurePairs(clock, {
+  const viaEntry = createEntryPath(client);
+  const buffered = await measurePairs(clock, {
     direct: () => direct.run("pipeline"),
-    through: () => through.whole("whole"),
+    viaEntry: () => viaEntry.buffered("whole"),
   });
   const streamed = await measurePairs(clock, {
     direct: () => direct.run("pipeline"),
-    through: () => through.streamed("whole"),
+    viaEntry: () => viaEntry.streamed("whole"),
   });
   const plain = await measureThroughput(clock, {
     pid,
     concurrency: CONCURRENCY,
     send: async () => {
-      await through.whole("plain");
+      await viaEntry.buffered("plain");
       return 1;
     },
   });
   const tokens = await measureThroughput(clock, {
     pid,
-    concurrency: STREAMS,
-    send: () => through.streamed("long"),
+    concurrency: STREAM_CONCURRENCY,
+    send: () => viaEntry.streamed("long"),
   });
-  const open = await measureOpenStreams(clock, { pid, through });
+  const open = await measureOpenStreams(clock, { pid, viaEntry });
   await client.close();
   return {
     scenario: "overhead",
     pairs: PAIRS,
-    whole_added_ms: whole,
+    whole_added_ms: buffered,
     streamed_added_ms: streamed,
     pipelines_per_core_s: Math.round(plain.perCore),
     pipelines_per_s: Math.round(plain.perSecond),
     tokens_per_core_s: Math.round(tokens.perCore),
     tokens_per_s: Math.round(tokens.perSecond),
-    memory_at_rest_mb: formatMegabytes(atRest),
+    memory_at_rest_mb: formatMegabytes(idleUsage),
     memory_500_streams_mb: formatMegabytes(open),
   };
 }
 
 interface PairedPaths {
   direct(): Promise<unknown>;
-  through(): Promise<unknown>;
+  viaEntry(): Promise<unknown>;
 }
 
-/** Alternates both paths, so that whatever disturbs one disturbs the other. */
-async function measurePairs(clock: Clock, { direct, through }: PairedPaths) {
+/** Alternates both paths, so that interference affects both alike. */
+async function measurePairs(clock: Clock, { direct, viaEntry }: PairedPaths) {
   const directTimes = build();
-  const throughTimes = build();
-  for (let i = 0; i < WARM_UP + PAIRS; i++) {
+  const entryTimes = build();
+  for (let i = 0; i < WARM_UP_PAIRS + PAIRS; i++) {
     const start = clock.now();
     await direct();
     const middle = clock.now();
-    await through();
+    await viaEntry();
     const end = clock.now();
-    if (i < WARM_UP) continue;
+    if (i < WARM_UP_PAIRS) continue;
     directTimes.recordValue((middle - start) * MICROSECONDS);
-    throughTimes.recordValue((end - middle) * MICROSECONDS);
+    entryTimes.recordValue((end - middle) * MICROSECONDS);
   }
   const subtract = (percentile: number) =>
     formatMillis(
-      throughTimes.getValueAtPercentile(percentile) -
+      entryTimes.getValueAtPercentile(percentile) -
         directTimes.getValueAtPercentile(percentile),
     );
   return {
     p50: subtract(50),
     p99: subtract(99),
     direct_p50: formatMillis(directTimes.getValueAtPercentile(50)),
-    entry_p50: formatMillis(throughTimes.getValueAtPercentile(50)),
+    entry_p50: formatMillis(entryTimes.getValueAtPercentile(50)),
   };
 }
 
@@ -150,7 +150,7 @@
   const before = readProcessUsage(pid);
   async function sendUntilEnd(): Promise<void> {
     while (clock.now() - startedAt < THROUGHPUT_MS) {
-      // Not `done += await …`, which would read `done` before the wait.
+      // `done += await …` would read `done` before the wait and lose counts.
       const sent = await send();
       done += sent;
     }
@@ -163,11 +163,11 @@
 
 async function measureOpenStreams(
   clock: Clock,
-  { pid, through }: { pid: number; through: EntryPath },
+  { pid, viaEntry }: { pid: number; viaEntry: EntryPath },
 ): Promise<ProcessUsage> {
   const streams = Array.from(
     { length: OPEN_STREAMS },
-    () => through.streamed("slow"),
+    () => viaEntry.streamed("slow"),
   );
   await clock.sleep(2_500);
   const usage = readProcessUsage(pid);
@@ -176,7 +176,7 @@
 }
 
 interface EntryPath {
-  whole(pipeline: string): Promise<number>;
+  buffered(pipeline: string): Promise<number>;
   streamed(pipeline: string): Promise<number>;
 }
 
@@ -189,7 +189,7 @@
     body: { text: TEXT },
   });
   return {
-    async whole(pipeline) {
+    async buffered(pipeline) {
       const answer = await client.runPipeline(createRequest(pipeline));
       if (answer.isErr) throw new Error(answer.error.message);
       return 1;
@@ -205,7 +205,7 @@
   };
 }
 
-/** Calls the same stand-ins in the same order, without an entry. */
+/** Calls the same stand-ins in the same order without an entry. */
 function createDirectPath(site: Site, clock: Clock) {
   const ignore = { onAnswer() {}, onDropped() {} };
   const stages = createStageClient({ clock, ...ignore });
--- a/bench/src/report.ts
+++ b/bench/src/report.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- report`: turns stored results into a page with plots.
+ * `npm run bench -- report`: renders stored results as a page with plots.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   attainment: number;
 }
 
-/** Writes the page; returns how many runs it is made from. */
+/** Writes the page; returns the number of runs it contains. */
 export async function writeReport(): Promise<number> {
   const results = readdirSync(RESULTS_FOLDER).map((file) =>
     JSON.parse(readFileSync(`${RESULTS_FOLDER}/${file}`, "utf8"))
@@ -48,7 +48,7 @@
   return { scenario, policy, attainment };
 }
 
-/** Rulings at Fjordvik, rating checks at the Association. */
+/** Finds the first class: rulings at Fjordvik, rating checks at the Association. */
 function findFirstClass({ classes }: LoadBenchResult): string | undefined {
   return ["rulings", "rating_checks"].find((name) => name in classes);
 }
@@ -108,22 +108,22 @@
 
 function formatRow(key: string, group: readonly LoadBenchResult[]): string {
   const first = findFirstClass(group[0]!) ?? "";
-  const pick = (read: (result: LoadBenchResult) => number | undefined) =>
-    formatSpread(group.map((result) => read(result) ?? 0));
+  const formatCell = (read: (result: LoadBenchResult) => number | undefined) =>
+    formatRange(group.map((result) => read(result) ?? 0));
   const cells = [
     ...key.split(" "),
     group.map(({ seed }) => seed).sort((a, b) => a - b).join(", "),
-    pick(({ classes }) => classes[first]?.attainment),
-    pick(({ classes }) => classes[first]?.bound),
-    pick(({ all }) => all.attainment),
-    pick(({ all }) => all.bound),
-    pick((result) => result.cost_by_stage.engine),
-    pick((result) => result.wasted_share),
+    formatCell(({ classes }) => classes[first]?.attainment),
+    formatCell(({ classes }) => classes[first]?.bound),
+    formatCell(({ all }) => all.attainment),
+    formatCell(({ all }) => all.bound),
+    formatCell((result) => result.cost_by_stage.engine),
+    formatCell((result) => result.wasted_share),
   ];
   return `| ${cells.join(" | ")} |`;
 }
 
-function formatSpread(values: number[]): string {
+function formatRange(values: number[]): string {
   const sorted = [...values].sort((a, b) => a - b);
   const median = sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
   if (sorted.length === 1) return median.toFixed(3);
--- a/bench/src/slopes.ts
+++ b/bench/src/slopes.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run slopes`: what one daemon pays for each peer, endpoint, account,
- * stream, remembered request, claim and configuration change. Each is measured
- * at several sizes and fitted by a straight line.
+ * `npm run slopes`: measures the CPU time and memory of an entry per peer,
+ * endpoint, account, stream, remembered request, claim and configuration change.
+ * Each is measured at several sizes and fitted by a straight line.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 import { createSystemClock } from "@mangoreach/shared";
 import { readDeployment } from "./site_plan.ts";
 
-/** One measured point. */
+/** A measured point. */
 interface Point {
   size: number;
   value: number;
@@ -38,25 +38,28 @@
 
 const clock = createSystemClock();
 
-/** Ordinary least squares. */
+/** Fits a line by ordinary least squares. */
 function fitLine(points: readonly Point[]): Line {
   const n = points.length;
   const meanX = points.reduce((sum, { size }) => sum + size, 0) / n;
   const meanY = points.reduce((sum, { value }) => sum + value, 0) / n;
-  const spread = points.reduce((sum, { size }) => sum + (size - meanX) ** 2, 0);
+  const variation = points.reduce(
+    (sum, { size }) => sum + (size - meanX) ** 2,
+    0,
+  );
   const slope = points.reduce(
     (sum, { size, value }) => sum + (size - meanX) * (value - meanY),
     0,
-  ) / spread;
+  ) / variation;
   const base = meanY - slope * meanX;
   const residual = points.reduce(
     (sum, { size, value }) => sum + (value - base - slope * size) ** 2,
     0,
   );
-  return { base, slope, error: Math.sqrt(residual / (n - 2) / spread) };
+  return { base, slope, error: Math.sqrt(residual / (n - 2) / variation) };
 }
 
-/** Processor time of one run of `work`, in microseconds. */
+/** Measures the mean CPU time of one run of `work`, in microseconds. */
 function measureCpu(runs: number, work: () => void): number {
   for (let i = 0; i < runs / 4; i++) work();
   const before = process.cpuUsage();
@@ -65,15 +68,15 @@
   return (user + system) / runs;
 }
 
-/** Heap that `create` keeps, in bytes; needs --expose-gc. */
+/** Measures the heap that `create` retains, in bytes; needs --expose-gc. */
 function measureHeap(create: () => unknown): number {
   const collect = globalThis.gc as (() => void) | undefined;
   collect?.();
   const before = process.memoryUsage().heapUsed;
-  const kept = create();
+  const retained = create();
   collect?.();
   const after = process.memoryUsage().heapUsed;
-  return kept === undefined ? 0 : after - before;
+  return retained === undefined ? 0 : after - before;
 }
 
 function report(
@@ -86,8 +89,10 @@
 ): void {
   const points = sizes.map((size) => ({ size, value: measure(size) }));
   const { base, slope, error } = fitLine(points);
-  const shown = points.map(({ size, value }) => `${size}: ${format(value)}`);
-  process.stderr.write(`${name} (${unit}): ${shown.join(", ")}\n`);
+  const formatted = points.map(({ size, value }) =>
+    `${size}: ${format(value)}`
+  );
+  process.stderr.write(`${name} (${unit}): ${formatted.join(", ")}\n`);
   process.stdout.write(
     `${
       JSON.stringify({
@@ -184,14 +189,14 @@
 
 function measureExchange(count: number): number {
   const members = createMembers(count);
-  let beat = 1;
+  let round = 1;
   return measureCpu(2_000, () => {
-    beat++;
+    round++;
     members.updateSelf({});
     members.merge(
       Array.from({ length: 11 }, (_, i) => ({
-        ...createPeer(1 + (beat * 11 + i) % count),
-        heartbeat: beat,
+        ...createPeer(1 + (round * 11 + i) % count),
+        heartbeat: round,
       })),
     );
     JSON.stringify(members.chooseRecords(12));
