--- a/bench/src/input_test.ts
+++ b/bench/src/input_test.ts
@@ -6,7 +6,7 @@
 import type { LocalSite } from "./local_site.ts";
 import { startLocalSite } from "./local_site.ts";
 
-describe("input that no honest caller sends", () => {
+describe("malformed and unauthorized input", () => {
   let site: LocalSite;
   let http: HttpClient;
 
@@ -30,7 +30,7 @@
       body?: string;
     };
     status: number;
-    says: string;
+    message: string;
   }
 
   const CASES: InputCase[] = [
@@ -38,126 +38,131 @@
       name: "a body that is not JSON",
       change: { body: "{" },
       status: 400,
-      says: "the body is malformed",
+      message: "the body is malformed",
     },
     {
-      name: "a text that is no text",
+      name: "a text that is not a string",
       change: { body: '{"text":1}' },
       status: 400,
-      says: "text",
+      message: "text",
     },
     {
       name: "an unknown field",
       change: { body: '{"text":"x","y":1}' },
       status: 400,
-      says: '"y"',
+      message: '"y"',
     },
-    { name: "no body", change: { body: "" }, status: 400, says: "malformed" },
     {
-      name: "too large a body",
+      name: "no body",
+      change: { body: "" },
+      status: 400,
+      message: "malformed",
+    },
+    {
+      name: "a body that is too large",
       change: { body: "x".repeat(4_000) },
       status: 413,
-      says: "larger than 2048",
+      message: "larger than 2048",
     },
     {
       name: "an unknown pipeline",
       change: { path: "/v1/pipelines/what" },
       status: 404,
-      says: '"what"',
+      message: '"what"',
     },
     {
       name: "an unknown service",
       change: { path: "/v1/services/what/x" },
       status: 404,
-      says: '"what"',
+      message: '"what"',
     },
     {
       name: "an unknown path",
       change: { path: "/what" },
       status: 404,
-      says: "nothing at this path",
+      message: "nothing at this path",
     },
     {
-      name: "a broken path",
+      name: "a malformed path",
       change: { path: "/%zz" },
       status: 400,
-      says: "path is malformed",
+      message: "path is malformed",
     },
     {
       name: "a wrong method",
       change: { method: "PUT" },
       status: 400,
-      says: "must be POST",
+      message: "must be POST",
     },
     {
       name: "an unknown class",
       change: { headers: { [CALLER_HEADERS.className]: "x" } },
       status: 404,
-      says: '"x"',
+      message: '"x"',
     },
     {
       name: "no class",
       change: { headers: { [CALLER_HEADERS.className]: "" } },
       status: 404,
-      says: "class",
+      message: "class",
     },
     {
-      name: "a bad deadline",
+      name: "an invalid deadline",
       change: { headers: { [CALLER_HEADERS.deadlineMs]: "-1" } },
       status: 400,
-      says: CALLER_HEADERS.deadlineMs,
+      message: CALLER_HEADERS.deadlineMs,
     },
     {
-      name: "a bad flag",
+      name: "an invalid flag",
       change: { headers: { [CALLER_HEADERS.idempotent]: "yes" } },
       status: 400,
-      says: CALLER_HEADERS.idempotent,
+      message: CALLER_HEADERS.idempotent,
     },
     {
-      name: "a bad id",
+      name: "an invalid request id",
       change: { headers: { [CALLER_HEADERS.requestId]: "a b" } },
       status: 400,
-      says: CALLER_HEADERS.requestId,
+      message: CALLER_HEADERS.requestId,
     },
     {
-      name: "a bad attempt",
+      name: "an invalid attempt number",
       change: { headers: { [CALLER_HEADERS.attempt]: "0" } },
       status: 400,
-      says: CALLER_HEADERS.attempt,
+      message: CALLER_HEADERS.attempt,
     },
     {
       name: "no account",
       change: { headers: { authorization: "" } },
       status: 401,
-      says: "unknown",
+      message: "unknown",
     },
     {
       name: "a wrong key",
       change: { headers: { authorization: "Bearer handlers:x" } },
       status: 401,
-      says: "unknown",
+      message: "unknown",
     },
     {
       name: "an unknown account",
       change: { headers: { authorization: "Bearer who:x" } },
       status: 401,
-      says: "unknown",
+      message: "unknown",
     },
     {
-      name: "a peers' path",
+      name: "a path for peers",
       change: { path: "/peers/exchange" },
       status: 404,
-      says: "nothing",
+      message: "nothing",
     },
     {
-      name: "an operators' path",
+      name: "a path for operators",
       change: { path: "/operators/drain" },
       status: 404,
-      says: "nothing",
+      message: "nothing",
     },
   ];
 
-  for (const { name, change, status, says } of CASES) {
+  for (const { name, change, status, message } of CASES) {
     it(`is refused with ${status} and not_run: ${name}`, async () => {
       const call = createDraftCall(site, change.path ?? "/v1/pipelines/draft");
       const reply = await http.call({
@@ -168,7 +173,7 @@
       expect(readRefusal(reply.isOk ? reply.value : undefined))
         .to.deep.equal({ status, verdict: "not_run" });
       expect(readMessage(reply.isOk ? reply.value : undefined))
-        .to.contain(says);
+        .to.contain(message);
     });
   }
 
@@ -180,7 +185,7 @@
       .to.deep.equal({ status: 401, verdict: "not_run" });
   });
 
-  it("gets nothing for a stream's token that is not its own", async () => {
+  it("is refused with 404 for an invalid stream token", async () => {
     for (const token of ["x", "x.y", ""]) {
       const reply = await http.call({
         ...createDraftCall(site, `/v1/streams/${token}?next=0`),
@@ -190,9 +195,9 @@
     }
   });
 
-  // An entry did not run the request, but cannot know what an earlier attempt
-  // at another entry did, so it does not say "not run".
-  it("is told not_run on a refusal only for a first attempt", async () => {
+  // The entry did not run the request, but cannot know whether an earlier attempt
+  // ran at another entry, so it must not answer not_run to a retry.
+  it("gets the verdict not_run on a refusal only for the first attempt", async () => {
     const call = createDraftCall(site, "/v1/pipelines/what");
     const read = async (attempt: string) => {
       const reply = await http.call({
@@ -209,7 +214,7 @@
     expect(await read("2")).to.equal("may_have_run");
   });
 
-  it("does not reach the control port without a key", async () => {
+  it("is refused with 401 at the control port without a key", async () => {
     const address = site.entries[0]?.controlAddress ?? "";
     for (const path of ["/operators/status", "/peers/config"]) {
       const reply = await http.call({ method: "GET", address, path });
--- a/bench/src/path_test.ts
+++ b/bench/src/path_test.ts
@@ -43,15 +43,15 @@
   return site[pool].flatMap(({ ledger }) => ledger).length;
 }
 
-describe("the whole path", () => {
+describe("end-to-end path", () => {
   let site: LocalSite;
   afterEach(() => site.stop());
 
-  it("answers whole and streamed requests with what they must get", async () => {
+  it("answers buffered and streamed requests with the expected output", async () => {
     site = await startLocalSite();
     const client = site.createClient();
-    const whole = await client.runPipeline(DRAFT);
-    expectDraft(whole.isOk && whole.value.output);
+    const buffered = await client.runPipeline(DRAFT);
+    expectDraft(buffered.isOk && buffered.value.output);
     const streamed = await client.streamPipeline(DRAFT, () => {});
     expectDraft(streamed.isOk && streamed.value.tokens.join(""));
     const called = await client.callService(NOTICE);
@@ -61,9 +61,9 @@
     await client.close();
   });
 
-  // A ruling is being streamed when its entry dies. The client resumes at
-  // another entry with its token, and the text is whole, in order, once.
-  it("resumes a stream at another entry when its entry dies", async () => {
+  // The entry crashes while it streams a ruling. The client resumes at another
+  // entry with its token and must get every token in order, exactly once.
+  it("resumes a stream at another entry when its entry crashes", async () => {
     site = await startLocalSite({ entries: 2, engineTimes: SLOW_ENGINE });
     const client = site.createClient();
     const sequences: number[] = [];
@@ -79,8 +79,8 @@
     await client.close();
   });
 
-  // The connection between entry and engine breaks. The entry resumes at the
-  // engine; the caller sees nothing of it.
+  // The connection between entry and engine is cut. The entry resumes at the
+  // engine without the caller having to resume.
   it("hides a cut connection to the engine from the caller", async () => {
     site = await startLocalSite({ engines: 1, engineTimes: SLOW_ENGINE });
     const client = site.createClient();
@@ -92,9 +92,9 @@
     await client.close();
   });
 
-  // The engine itself dies in the middle. The generation begins again at
-  // another engine, and the client drops the tokens of the lost one.
-  it("begins a generation again when its engine dies", async () => {
+  // The engine crashes during a generation. The generation restarts at another
+  // engine, and the client drops the tokens of the first one.
+  it("restarts a generation when its engine crashes", async () => {
     site = await startLocalSite({ engines: 2, engineTimes: SLOW_ENGINE });
     const client = site.createClient();
     let isStopped = false;
@@ -107,8 +107,8 @@
     await client.close();
   });
 
-  // A notice is issued and the answer is lost. The caller asks again, at the
-  // same and at another entry. The notice must not go out twice.
+  // A notice is issued, but the answer is lost. The caller retries at the same
+  // and at another entry. The notice must not be issued twice.
   it("does not repeat a service call whose answer was lost", async () => {
     site = await startLocalSite({ entries: 2 });
     for (const { faults } of site.services) faults.loseAnswers = 1;
@@ -123,7 +123,7 @@
     await client.close();
   });
 
-  it("repeats an idempotent call at another endpoint", async () => {
+  it("retries an idempotent call at another endpoint", async () => {
     site = await startLocalSite();
     for (const { faults } of site.encoders) faults.wrongEchoes = 1;
     const client = site.createClient();
@@ -132,8 +132,8 @@
     await client.close();
   });
 
-  // One endpoint refuses connections; the instance list still calls it live.
-  it("goes around a dead endpoint, also for calls that may not be repeated", async () => {
+  // One endpoint refuses connections, but the instance list still has it as live.
+  it("avoids a dead endpoint, also for non-idempotent calls", async () => {
     site = await startLocalSite();
     await site.services[0]?.stop();
     const client = site.createClient();
@@ -145,31 +145,31 @@
     await client.close();
   });
 
-  // Nobody waits for a draft any more. Its engine must not go on generating.
-  it("stops the work of a caller that goes away", async () => {
+  // The caller of a draft has disconnected. Its engine must stop generating.
+  it("cancels the work of a caller that disconnects", async () => {
     site = await startLocalSite({
       engineTimes: { ...SLOW_ENGINE, stepMs: 40 },
       timing: { lingerMs: 50 },
     });
     const http = createHttpClient();
-    const leaving = new AbortController();
+    const disconnect = new AbortController();
     const request = http.call({
       ...createDraftCall(site, "/v1/pipelines/draft"),
-      signal: leaving.signal,
+      signal: disconnect.signal,
     });
     const countBusy = () =>
       site.engines.reduce((sum, engine) => sum + engine.countBusy(), 0);
     await waitUntil(site.clock, () => countBusy() === 1);
-    leaving.abort();
+    disconnect.abort();
     await request;
     await waitUntil(site.clock, () => countBusy() === 0);
     await http.close();
   });
 
-  // Chat waits at a full engine until its deadline and is given up before its
-  // first token. The engine would go on for as long as a resume is allowed, and
-  // generate for nobody in a slot that rulings wait for.
-  it("cancels at the engine what was given up before its first token", async () => {
+  // A request waits at a full engine until its deadline and is abandoned before
+  // its first token. Without a cancel the engine would keep it for as long as a
+  // resume is allowed, and generate unused tokens in a slot that others wait for.
+  it("cancels a request at the engine that is abandoned before its first token", async () => {
     site = await startLocalSite({
       engines: 1,
       engineTimes: { ...SLOW_ENGINE, slots: 1, stepMs: 60 },
@@ -192,7 +192,7 @@
     await client.close();
   });
 
-  it("refuses what cannot be in time, and runs nothing of it", async () => {
+  it("refuses a request that cannot meet its deadline without running it", async () => {
     site = await startLocalSite({
       stageTimes: { slots: 1, baseMs: 50, perThousandMs: 0 },
       encoders: 1,
@@ -201,20 +201,20 @@
     const request = { ...DRAFT, pipeline: "embed", deadlineMs: 400 };
     for (let i = 0; i < 3; i++) await client.runPipeline(request);
     const before = countExecutions(site, "encoders");
-    const hopeless = await client.runPipeline({ ...request, deadlineMs: 20 });
-    expect(hopeless.isErr && hopeless.error.verdict).to.equal("not_run");
+    const infeasible = await client.runPipeline({ ...request, deadlineMs: 20 });
+    expect(infeasible.isErr && infeasible.error.verdict).to.equal("not_run");
     expect(countExecutions(site, "encoders")).to.equal(before);
     await client.close();
   });
 });
 
-describe("a log that is away", () => {
+describe("unavailable log", () => {
   let site: LocalSite;
   afterEach(() => site.stop());
 
-  // The log is away for an hour. Notices whose ids are bound to an entry go out
-  // all the same; an id that needs a claim is refused and does not run.
-  it("stops only requests that need a claim, and says not_run", async () => {
+  // The log is unavailable. Notices whose ids are bound to an entry are still
+  // issued; a request whose id needs a claim is refused and does not run.
+  it("refuses only requests that need a claim, with not_run", async () => {
     site = await startLocalSite();
     site.log.faults.away = true;
     const client = site.createClient();
@@ -230,7 +230,7 @@
     await client.close();
   });
 
-  it("lets an entry that starts meanwhile get the configuration from a peer", async () => {
+  it("lets a starting entry get the configuration from a peer", async () => {
     site = await startLocalSite();
     site.log.faults.away = true;
     const late = await site.startEntry();
@@ -238,9 +238,9 @@
     expect(late.status.configVersion).to.equal(1);
   });
 
-  // The record of the configuration expires in the log. An entry carried it
-  // forward before, so an entry that starts alone later still finds it.
-  it("leaves a configuration in the log longer than the log keeps records", async () => {
+  // The record of the configuration expires in the log. An entry has republished
+  // it before, so an entry that starts later without peers still finds it.
+  it("keeps a configuration in the log beyond the retention period", async () => {
     site = await startLocalSite({
       retentionMs: 600,
       timing: { carryForwardMs: 150 },
@@ -258,7 +258,7 @@
   let site: LocalSite;
   afterEach(() => site.stop());
 
-  it("reach every entry, once, in the same version", async () => {
+  it("reach every entry once, with the same version", async () => {
     site = await startLocalSite({ entries: 3 });
     site.log.faults.loseAnswers = 1;
     const next = structuredClone(LOCAL_CONFIG);
@@ -281,10 +281,10 @@
 
   const STOPS = [
     { name: "", isLogAway: false },
-    { name: " while the log is away", isLogAway: true },
+    { name: " while the log is unavailable", isLogAway: true },
   ];
   for (const { name, isLogAway } of STOPS) {
-    it(`cut nothing off that an entry has in progress${name}`, async () => {
+    it(`do not cut off requests in progress${name}`, async () => {
       site = await startLocalSite({ engineTimes: SLOW_ENGINE });
       site.log.faults.away = isLogAway;
       const client = site.createClient();
@@ -300,9 +300,9 @@
     });
   }
 
-  // A caller keeps an address answer for ten seconds. The entry it names leaves
-  // meanwhile, and still serves the caller until that time has passed.
-  it("serve callers that still keep the old address", async () => {
+  // Callers cache the list of addresses for ten seconds. An entry of the list that
+  // stops in the meantime must still serve them until the cache expires.
+  it("serve callers that have cached the old address", async () => {
     site = await startLocalSite({ entries: 2, timing: { drainMs: 3_000 } });
     const [entry] = site.entries;
     const stopping = entry?.stop();
@@ -323,9 +323,9 @@
     await http.close();
   });
 
-  // An endpoint leaves; the instance list says so only much later. After the
-  // first refusal nothing new is sent there, and nothing is lost.
-  it("send a leaving endpoint nothing new although the list lags", async () => {
+  // An endpoint leaves, but the instance list shows it only much later. After the
+  // first refusal no new request is sent there, and no request is lost.
+  it("send no new requests to a leaving endpoint while the list lags", async () => {
     site = await startLocalSite({ listLagMs: 0 });
     const client = site.createClient();
     site.services[0]?.leave();
@@ -341,7 +341,7 @@
   let site: LocalSite;
   afterEach(() => site.stop());
 
-  it("make engines hold what the configuration asks for", async () => {
+  it("make engines load the configured models", async () => {
     site = await startLocalSite({
       entries: 2,
       models: [],
@@ -362,7 +362,7 @@
     await client.close();
   });
 
-  it("wait while the weight store is away", async () => {
+  it("wait while the weight store is unavailable", async () => {
     site = await startLocalSite({ models: [], timing: { leaseMs: 500 } });
     site.weightStore.faults.away = true;
     await site.clock.sleep(1_000);
