--- a/scripts/guards.ts
+++ b/scripts/guards.ts
@@ -184,21 +184,21 @@
     file: `${ENTRY}/config_follower.ts`,
     text: 'const ack = await log.append("config", record);',
     without: "const ack = { isOk: false };",
-    test: "longer than the log keeps records",
+    test: "beyond the retention period",
   },
   {
     name: "a stop waits for running requests",
     file: `${ENTRY}/entry.ts`,
     text: "await waitForRequests();",
     without: "",
-    test: "cut nothing off",
+    test: "do not cut off requests in progress",
   },
   {
     name: "an abandoned generation is cancelled at the engine",
     file: `${ENTRY}/generation_runner.ts`,
     text: "if (first.streamId !== undefined) {",
     without: "if (false) {",
-    test: "given up before its first token",
+    test: "abandoned before its first token",
   },
   {
     name: "not_run is reported only for a first attempt",
@@ -206,7 +206,7 @@
     text:
       'if (failure.verdict !== "not_run" || head.isFirstAttempt) return failure;',
     without: 'if (failure.verdict !== "may_have_run") return failure;',
-    test: "only for a first attempt",
+    test: "only for the first attempt",
   },
 ];
 
