--- a/packages/coordination/src/piece_batcher_test.ts
+++ b/packages/coordination/src/piece_batcher_test.ts
@@ -192,9 +192,9 @@
       createEndpoint("e1", { calls: 1, freeAt: 250 }),
       createEndpoint("e2"),
     ];
-    const plan = (onTimeAt: number) => {
+    const plan = (objectiveAt: number) => {
       const batcher = createPieceBatcher<NamedPiece>(() => spec);
-      batcher.add(createPiece("a", { ...large, objectiveAt: onTimeAt }));
+      batcher.add(createPiece("a", { ...large, objectiveAt }));
       return batcher.planCall(endpoints, AT_START)?.endpoint.info.id;
     };
     expect(plan(600)).to.equal(undefined);
--- a/packages/coordination/src/retry_budget.ts
+++ b/packages/coordination/src/retry_budget.ts
@@ -26,15 +26,15 @@
 
 /** Creates a full budget. */
 export function createRetryBudget(
-  { share, max, readShare: readPart = () => 1 }: RetryBudgetOptions,
+  { share, max, readShare = () => 1 }: RetryBudgetOptions,
 ): RetryBudget {
-  let balance = max * readPart();
+  let balance = max * readShare();
   return {
     get balance() {
       return balance;
     },
     deposit() {
-      balance = Math.min(max * readPart(), balance + share);
+      balance = Math.min(max * readShare(), balance + share);
     },
     withdraw() {
       if (balance < 1) return false;
--- a/packages/serving/src/quarantine_gossip.ts
+++ b/packages/serving/src/quarantine_gossip.ts
@@ -57,7 +57,7 @@
   applyRecords(records: readonly TopicRecord[]): void;
   /** Returns the update to gossip; undefined if there is nothing to send. */
   readUpdate(): PoisonUpdate | undefined;
-  applyUpdate(news: PoisonUpdate): void;
+  applyUpdate(update: PoisonUpdate): void;
   /** Writes the records again that a restored store may lack. */
   republish(): void;
   /** Releases contents whose quarantine expired; ends with the signal. */
--- a/packages/serving/src/stage_dispatcher.ts
+++ b/packages/serving/src/stage_dispatcher.ts
@@ -273,9 +273,9 @@
     });
     const reply = await stages.run({
       endpoint: info,
-      pieces: pieces.map(({ order, deadlineAt: dueAt }) => ({
+      pieces: pieces.map(({ order, deadlineAt }) => ({
         ...order,
-        remaining: dueAt - startedAt,
+        remaining: deadlineAt - startedAt,
       })),
       timeout: CALL_TIMEOUT_FACTOR * expected + CALL_TIMEOUT_SLACK,
     });
--- a/packages/serving/src/stage_graph_test.ts
+++ b/packages/serving/src/stage_graph_test.ts
@@ -20,7 +20,7 @@
 
   function create(
     pieceCounts: number[],
-    { dueAt = 5_000, freedInputs = false } = {},
+    { deadlineAt = 5_000, freedInputs = false } = {},
   ) {
     const runs: (PieceWork & { end: (reply: PieceRunReply) => void })[] = [];
     const released: string[] = [];
@@ -56,7 +56,7 @@
       head: createTestHead({ pieceCounts }),
       priority: 1,
       objectiveAt: 2_000,
-      deadlineAt: dueAt,
+      deadlineAt,
       durations: pieceCounts.map((count) => count === 0 ? 0 : 300),
       readLifetime: () => 4_000,
       readPlace: () => "there",
@@ -133,7 +133,7 @@
   // While the next stage is queued, results can expire at their endpoint before
   // the request's deadline. A call with expired inputs is wasted.
   it("limits the queueing time of a stage to the lifetime of its inputs", async () => {
-    const { stage, finish } = create([0, 1, 1, 1], { dueAt: 60_000 });
+    const { stage, finish } = create([0, 1, 1, 1], { deadlineAt: 60_000 });
     await settlePromises();
     await finish(1);
     expect(stage(2)?.remaining).to.equal(4_000);
