--- a/packages/callers/src/caller_client.ts
+++ b/packages/callers/src/caller_client.ts
@@ -15,17 +15,17 @@
 import { Result } from "true-myth";
 import { createAddressBook } from "./address_book.ts";
 import type {
-  BufferedAnswer,
   Credentials,
   EntryAddress,
+  PipelineAnswer,
   PipelineBody,
 } from "./caller_protocol.ts";
 import {
-  bufferedAnswerSchema,
   CALLER_HEADERS,
   CALLER_PATHS,
   formatCredentials,
   parseFailure,
+  pipelineAnswerSchema,
 } from "./caller_protocol.ts";
 import {
   createUnreachableFailure,
@@ -101,7 +101,7 @@
   createRequestId(): Promise<string | undefined>;
   runPipeline(
     request: PipelineRequest,
-  ): Promise<Result<BufferedAnswer, Failure>>;
+  ): Promise<Result<PipelineAnswer, Failure>>;
   streamPipeline(
     request: PipelineRequest,
     onToken: (token: string, sequence: number) => void,
@@ -299,7 +299,7 @@
 
   async function runPipeline(
     request: PipelineRequest,
-  ): Promise<Result<BufferedAnswer, Failure>> {
+  ): Promise<Result<PipelineAnswer, Failure>> {
     const submission: Submission = {
       path: CALLER_PATHS.pipelines + encodeURIComponent(request.pipeline),
       body: JSON.stringify(request.body),
@@ -307,7 +307,7 @@
       accept: "application/json",
     };
     const answer = await callBuffered(submission, (_status, body, id) => {
-      const parsed = bufferedAnswerSchema.safeParse(body);
+      const parsed = pipelineAnswerSchema.safeParse(body);
       return parsed.success && parsed.data.request_id === id
         ? parsed.data
         : undefined;
--- a/packages/callers/src/caller_protocol.ts
+++ b/packages/callers/src/caller_protocol.ts
@@ -90,7 +90,7 @@
 export type PipelineBody = z.infer<typeof pipelineBodySchema>;
 
 /** The complete response of a pipeline that is not streamed. */
-export const bufferedAnswerSchema = z.object({
+export const pipelineAnswerSchema = z.object({
   request_id: z.string(),
   pipeline: z.string(),
   /** Output of the last stage: generated text, or the stage's own JSON. */
@@ -98,7 +98,7 @@
 });
 
 /** The complete response of a pipeline that is not streamed. */
-export type BufferedAnswer = z.infer<typeof bufferedAnswerSchema>;
+export type PipelineAnswer = z.infer<typeof pipelineAnswerSchema>;
 
 /** Events of a streamed response; the last one is `end` or `failed`. */
 export type CallerEventName = "start" | "token" | "end" | "failed";
--- a/packages/callers/src/mod.ts
+++ b/packages/callers/src/mod.ts
@@ -5,16 +5,15 @@
  */
 export type {
   AddressAnswer,
-  BufferedAnswer,
   CallerEventName,
   Credentials,
   EntryAddress,
   FailureBody,
+  PipelineAnswer,
   PipelineBody,
 } from "./caller_protocol.ts";
 export {
   addressAnswerSchema,
-  bufferedAnswerSchema,
   CALLER_HEADERS,
   CALLER_PATHS,
   FAILURE_STATUS,
@@ -22,6 +21,7 @@
   formatFailure,
   parseCredentials,
   parseFailure,
+  pipelineAnswerSchema,
   pipelineBodySchema,
 } from "./caller_protocol.ts";
 export type {
--- a/packages/coordination/src/data_age.ts
+++ b/packages/coordination/src/data_age.ts
@@ -33,7 +33,7 @@
    * queried.
    */
   readTime(): DataTimestamp;
-  /** Records that the source confirmed the data as of `askedAt`. */
+  /** Records that the source confirmed the data as of `queriedAt`. */
   recordConfirmed(queriedAt: DataTimestamp): void;
   /** Returns the age of the data; infinity before the first confirmation. */
   read(): Millis;
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -184,7 +184,7 @@
 } from "./work_queue.ts";
 export { createWorkQueue } from "./work_queue.ts";
 export type {
-  AttemptOutcome,
+  AttemptEnd,
   EndpointStatus,
   Permit,
   PoolPolicy,
--- a/packages/coordination/src/stage_pool.ts
+++ b/packages/coordination/src/stage_pool.ts
@@ -38,7 +38,7 @@
 }
 
 /** How an attempt at an endpoint ended. */
-export type AttemptOutcome =
+export type AttemptEnd =
   | "done"
   | "unreachable"
   | "failing"
@@ -56,7 +56,7 @@
   /**
    * Ends the attempt; `pause` is the time for which the endpoint refuses work.
    */
-  release(end: AttemptOutcome, pause?: Millis): void;
+  release(end: AttemptEnd, pause?: Millis): void;
 }
 
 /** The pool's policy; benchmarks pass in baselines for comparison. */
@@ -292,7 +292,7 @@
       slot.health.recordSuccess(ratio);
     }
 
-    function release(end: AttemptOutcome, pause?: Millis): void {
+    function release(end: AttemptEnd, pause?: Millis): void {
       if (isReleased) return;
       isReleased = true;
       if (pause !== undefined) onPause?.(slot.info, pause);
@@ -329,7 +329,7 @@
   function recordOutcome(
     slot: Slot,
     { end, size, duration }: {
-      end: AttemptOutcome;
+      end: AttemptEnd;
       size: number;
       duration: Millis;
     },
--- a/packages/entry/src/stage_attempts.ts
+++ b/packages/entry/src/stage_attempts.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type {
-  AttemptOutcome,
+  AttemptEnd,
   EndpointInfo,
   Failure,
   Permit,
@@ -244,7 +244,7 @@
   );
 }
 
-function classifyAttempt({ kind, verdict }: Failure): AttemptOutcome {
+function classifyAttempt({ kind, verdict }: Failure): AttemptEnd {
   switch (kind) {
     case "unavailable":
       return verdict === "not_run" ? "unreachable" : "failing";
--- a/packages/serving/src/dispatched_piece.ts
+++ b/packages/serving/src/dispatched_piece.ts
@@ -16,11 +16,11 @@
   readonly ownsInputs: boolean;
   freedInputs: boolean;
   /** Endpoint crashes during calls with pieces of the group. */
-  readonly ends: EndpointCrash[];
+  readonly ends: ObservedCrash[];
 }
 
 /** An endpoint that crashed during a call with pieces of a group. */
-export interface EndpointCrash {
+export interface ObservedCrash {
   endpointKey: string;
   sentAt: Millis;
   endedAt: Millis;
--- a/packages/serving/src/peer_gossip.ts
+++ b/packages/serving/src/peer_gossip.ts
@@ -84,9 +84,9 @@
 const SUSPECT_TIMEOUT: Millis = 2_500;
 const LOST_TIMEOUT: Millis = 6_000;
 /**
- * A message carries updates about six peers or so, so updates about one peer
- * take longer when there are more peers than this; with 86 about three times as
- * long. The time-outs are scaled accordingly.
+ * A message carries updates about some six peers. Among more peers than this,
+ * updates about one peer take longer; with 86 about three times as long. The
+ * time-outs are scaled accordingly.
  */
 const FAST_GOSSIP_PEERS = 24;
 const MAX_TIMEOUT_FACTOR = 3;
--- a/packages/serving/src/quarantine_gossip.ts
+++ b/packages/serving/src/quarantine_gossip.ts
@@ -255,7 +255,7 @@
    * Covers the quarantines that are still gossiped; older ones have been in the
    * store for long, and thus in its copy.
    */
-  function publishRecent(): void {
+  function republish(): void {
     for (const found of quarantine.chooseQuarantined(MAX_REPUBLISHED)) {
       const isAggregator = listAggregators(found.content).some(isSelf);
       if (isAggregator) void writeStore(() => store.publish(found));
@@ -280,7 +280,7 @@
     applyRecords,
     readUpdate,
     applyUpdate,
-    republish: publishRecent,
+    republish,
     releaseExpired,
   };
 }
--- a/soak/src/soak_endpoints.ts
+++ b/soak/src/soak_endpoints.ts
@@ -10,7 +10,7 @@
 import { formatEndpointKey } from "@mangoreach/coordination";
 import { HEADER, PATH } from "../../platform/src/wire_names.ts";
 import type { ObservedArrival, SoakSignals } from "./endpoint_signals.ts";
-import type { RequestHandler, SoakServer } from "./soak_server.ts";
+import type { SoakHandler, SoakServer } from "./soak_server.ts";
 import { readCompleteBody, startSoakServer } from "./soak_server.ts";
 
 /** One execution of a request at an endpoint. */
@@ -141,7 +141,7 @@
 
 async function startEndpoint(
   id: string,
-  handle: RequestHandler,
+  handle: SoakHandler,
 ): Promise<SoakEndpoint> {
   const server = await startSoakServer(handle);
   return { id, ...server };
--- a/soak/src/soak_server.ts
+++ b/soak/src/soak_server.ts
@@ -16,7 +16,7 @@
 }
 
 /** Handles one request; its connection is destroyed on an error. */
-export type RequestHandler = (
+export type SoakHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => Promise<void>;
@@ -31,7 +31,7 @@
 
 /** Starts a server on a free port. */
 export async function startSoakServer(
-  handle: RequestHandler,
+  handle: SoakHandler,
 ): Promise<SoakServer> {
   const server = await startServer((request, response) => {
     // Fails when the caller disconnects, so no error response is sent.
